--- a/internal/cell/job/job.go
+++ b/internal/cell/job/job.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Resources is an amount of what a worker offers.
+// Resources is an amount of the resources that a worker offers and tasks use.
 type Resources struct {
 	CPU   int64 `cbor:"1,keyasint,omitempty"` // thousandths of a core
 	MemMB int64 `cbor:"2,keyasint,omitempty"`
@@ -32,50 +32,52 @@
 	return Resources{r.CPU * int64(n), r.MemMB * int64(n), r.GPU * int64(n)}
 }
 
-// Fits reports whether r fits into free.
+// Fits reports whether r is at most free in every resource.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPU <= free.CPU && r.MemMB <= free.MemMB && r.GPU <= free.GPU
 }
 
-// CountIn returns how many times r fits into free, at most most.
-func (r Resources) CountIn(free Resources, most int) int {
+// CountIn returns how many times r fits into free, at most maxCount. It is zero if
+// free is negative in a resource that r needs.
+func (r Resources) CountIn(free Resources, maxCount int) int {
 	for _, kind := range [...][2]int64{{r.CPU, free.CPU}, {r.MemMB, free.MemMB}, {r.GPU, free.GPU}} {
 		if kind[0] > 0 {
-			most = min(most, int(max(0, kind[1])/kind[0]))
+			maxCount = min(maxCount, int(max(0, kind[1])/kind[0]))
 		}
 	}
-	return most
+	return maxCount
 }
 
-// Within reports whether r exceeds no limit. A limit of zero is none.
+// Within reports whether r is within limit. A resource whose limit is zero is not
+// limited.
 func (r Resources) Within(limit Resources) bool {
 	return (limit.CPU == 0 || r.CPU <= limit.CPU) &&
 		(limit.MemMB == 0 || r.MemMB <= limit.MemMB) &&
 		(limit.GPU == 0 || r.GPU <= limit.GPU)
 }
 
-// Step is a set of equal tasks.
+// Step is a set of identical tasks.
 type Step struct {
 	Count          int           `cbor:"1,keyasint"`
-	Need           Resources     `cbor:"2,keyasint"` // of one task
-	Estimate       time.Duration `cbor:"3,keyasint,omitempty"`
-	DependsOn      []int         `cbor:"4,keyasint,omitempty"` // steps that must be done first
-	Checkpoints    bool          `cbor:"5,keyasint,omitempty"`
-	Gang           bool          `cbor:"6,keyasint,omitempty"`  // the tasks work only together
-	SameRack       bool          `cbor:"7,keyasint,omitempty"`  // slower when spread over racks
-	Label          string        `cbor:"8,keyasint,omitempty"`  // label that the worker must have
-	PreferredRack  string        `cbor:"9,keyasint,omitempty"`  // where the data are; slower elsewhere
-	MaxPerWorker   int           `cbor:"10,keyasint,omitempty"` // zero for no bound
-	Speculative    bool          `cbor:"11,keyasint,omitempty"` // copies may run in parallel
+	Need           Resources     `cbor:"2,keyasint"`            // of one task
+	Estimate       time.Duration `cbor:"3,keyasint,omitempty"`  // expected run time of one task
+	DependsOn      []int         `cbor:"4,keyasint,omitempty"`  // indexes of the steps that must finish first
+	Checkpoints    bool          `cbor:"5,keyasint,omitempty"`  // tasks save checkpoints and resume from them
+	Gang           bool          `cbor:"6,keyasint,omitempty"`  // tasks can only run all at the same time
+	SameRack       bool          `cbor:"7,keyasint,omitempty"`  // tasks run slower when spread over racks
+	Label          string        `cbor:"8,keyasint,omitempty"`  // label that a worker must have; empty for any worker
+	PreferredRack  string        `cbor:"9,keyasint,omitempty"`  // rack that holds the data; tasks run slower on others
+	MaxPerWorker   int           `cbor:"10,keyasint,omitempty"` // maximum number of tasks on one worker; zero for no limit
+	Speculative    bool          `cbor:"11,keyasint,omitempty"` // speculative copies may run in parallel
 	LongRunning    bool          `cbor:"12,keyasint,omitempty"` // runs until the job is canceled
 	Image          string        `cbor:"13,keyasint,omitempty"`
-	TailTarget     time.Duration `cbor:"14,keyasint,omitempty"` // response time of a serving task
-	Filler         bool          `cbor:"15,keyasint,omitempty"` // takes only CPU that others leave
-	MaxUnavailable int           `cbor:"16,keyasint,omitempty"` // tasks that may be down by our doing
+	TailTarget     time.Duration `cbor:"14,keyasint,omitempty"` // target for the tail latency of a serving task
+	Filler         bool          `cbor:"15,keyasint,omitempty"` // uses only CPU that other tasks leave idle
+	MaxUnavailable int           `cbor:"16,keyasint,omitempty"` // maximum number of tasks that the scheduler may interrupt at once
 }
 
-// Charge returns what one task of the step takes of a worker's capacity. The
-// CPU of a filler is not counted.
+// Charge returns the part of a worker's capacity that one task of the step
+// occupies. The CPU of a filler is not counted.
 func (s *Step) Charge() Resources {
 	if s.Filler {
 		return Resources{MemMB: s.Need.MemMB, GPU: s.Need.GPU}
@@ -88,14 +90,14 @@
 	ID       string        `cbor:"1,keyasint"`
 	Queue    string        `cbor:"2,keyasint"`
 	Team     string        `cbor:"3,keyasint"`
-	Payload  string        `cbor:"4,keyasint,omitempty"` // opaque, handed to every task
+	Payload  string        `cbor:"4,keyasint,omitempty"` // opaque, passed to every task
 	Steps    []Step        `cbor:"5,keyasint"`
-	Times    int           `cbor:"6,keyasint,omitempty"` // occurrences of a scheduled job; zero for none
-	FirstDue int64         `cbor:"7,keyasint,omitempty"` // Unix milliseconds
-	Interval time.Duration `cbor:"8,keyasint,omitempty"`
+	Times    int           `cbor:"6,keyasint,omitempty"` // number of occurrences of a scheduled job; zero if the job is not scheduled
+	FirstDue int64         `cbor:"7,keyasint,omitempty"` // when the first occurrence is due, in Unix milliseconds
+	Interval time.Duration `cbor:"8,keyasint,omitempty"` // between occurrences
 }
 
-// Occurrences returns how often the steps run.
+// Occurrences returns the number of times that the steps run.
 func (s *Spec) Occurrences() int { return max(1, s.Times) }
 
 // Scheduled reports whether the job runs at set times.
@@ -104,14 +106,14 @@
 // Due returns when occurrence k is due, in Unix milliseconds.
 func (s *Spec) Due(k int) int64 { return s.FirstDue + int64(k)*s.Interval.Milliseconds() }
 
-// Bounds of a valid Spec.
+// Limits of a valid Spec.
 const (
 	MaxSteps   = 64
-	MaxTasks   = 10_000
-	MaxPayload = 4_000 // bytes
+	MaxTasks   = 10_000 // tasks of a step, and occurrences of a job
+	MaxPayload = 4_000  // bytes
 )
 
-// Validate returns an error that names the first fault of s.
+// Validate returns an error that describes the first invalid field of s, or nil.
 func (s *Spec) Validate() error {
 	switch {
 	case len(s.Payload) > MaxPayload:
@@ -165,27 +167,27 @@
 	return true
 }
 
-// StepRef names a step of one occurrence of a job.
+// StepRef identifies a step of one occurrence of a job.
 type StepRef struct {
 	Job        string
 	Occurrence int
 	Step       int
 }
 
-// String returns the name that workers and advisers know the step by.
+// String returns the name of the step in calls to workers and the adviser.
 func (r StepRef) String() string { return fmt.Sprintf("%s.%d.%d", r.Job, r.Occurrence, r.Step) }
 
-// TaskRef names one task.
+// TaskRef identifies one task of a step.
 type TaskRef struct {
 	StepRef
 	Index int
 }
 
-// String returns the name that workers know the task by.
+// String returns the name of the task in calls to workers.
 func (r TaskRef) String() string { return r.StepRef.String() + "." + strconv.Itoa(r.Index) }
 
-// ParseTask parses the name of a task. It returns an error when name does not
-// have the form of one.
+// ParseTask parses a name that TaskRef.String returned. It returns an error if name
+// does not have that form.
 func ParseTask(name string) (TaskRef, error) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 || parts[0] == "" {
