--- a/internal/cell/placement/placement.go
+++ b/internal/cell/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement chooses workers for the tasks of a step. It answers the load
-// of a fleet that is nearly full with tasks of very unlike sizes: small tasks go
-// where they leave the least room unused, so that whole pieces stay free for
-// large ones, and a gang is placed entirely or not at all.
+// Package placement chooses workers for the tasks of a step. It is designed for a
+// fleet that is nearly full with tasks of very different sizes: best-fit packing
+// puts small tasks where they leave the least CPU unused, so that large blocks
+// of capacity stay free for large tasks. A gang is placed entirely or not at all.
 package placement
 
 import (
@@ -14,37 +14,38 @@
 type Candidate struct {
 	Free     job.Resources
 	Rack     string
-	Slowness float64 // expected run time against a sound worker's, 1 or more
-	Present  int     // tasks of the step that it runs already
+	Slowness float64 // expected run time relative to a healthy worker's, at least 1
+	Present  int     // number of tasks of the step that already run on the worker
 }
 
-// Request is what has to be placed.
+// Request describes the tasks to place.
 type Request struct {
 	Need          job.Resources // of one task
-	Count         int
-	All           bool // place all or none
-	SameRack      bool // all on one rack if possible
-	PreferredRack string
-	FarPenalty    float64 // how many times as long a task takes away from its rack
-	MaxPerWorker  int
+	Count         int           // number of tasks
+	All           bool          // place all tasks or none
+	SameRack      bool          // place all tasks on one rack if possible
+	PreferredRack string        // empty for no preference
+	FarPenalty    float64       // run time outside the preferred rack relative to that inside
+	MaxPerWorker  int           // zero for no limit
 }
 
-// slowStep is the difference of slowness below which two workers count as alike,
-// less than the spread of sound workers.
-const slowStep = 0.15
+// slownessBucket is the width of the ranges of slowness within which workers count
+// as equally fast. It is less than the spread among healthy workers.
+const slownessBucket = 0.15
 
-// Place returns the index of a candidate for each task that it places. With
-// Request.All it returns nil unless all are placed.
+// Place returns the index of a candidate for each task that it places, at most
+// Request.Count. With Request.All it returns nil unless all tasks are placed.
 func Place(req Request, candidates []Candidate) []int {
 	if req.SameRack {
 		if chosen := onOneRack(req, candidates); chosen != nil {
 			return chosen
 		}
 	}
-	return place(req, candidates, allOf(len(candidates)))
+	return place(req, candidates, indexesUpTo(len(candidates)))
 }
 
-func allOf(n int) []int {
+// indexesUpTo returns the numbers from 0 to n-1.
+func indexesUpTo(n int) []int {
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
@@ -72,61 +73,64 @@
 	return nil
 }
 
+// option is a candidate on which at least one task fits.
 type option struct {
-	index int
-	room  int // tasks that fit
-	score float64
-	left  int64 // CPU left over when filled with such tasks
+	index     int
+	fit       int     // number of tasks that fit
+	score     float64 // expected relative run time, lower is better
+	unusedCPU int64   // CPU that remains when the candidate is filled with such tasks
 }
 
+// place places the tasks of req on the candidates whose indexes are in among: on the
+// fastest first, among equally fast ones on those where the least CPU stays unused.
 func place(req Request, candidates []Candidate, among []int) []int {
 	options := make([]option, 0, len(among))
 	total := 0
 	for _, i := range among {
 		c := &candidates[i]
-		room := room(req, c)
-		if room == 0 {
+		fit := tasksThatFit(req, c)
+		if fit == 0 {
 			continue
 		}
-		total += room
-		slow := c.Slowness
+		total += fit
+		score := c.Slowness
 		if req.PreferredRack != "" && c.Rack != req.PreferredRack {
-			slow *= max(1, req.FarPenalty)
+			score *= max(1, req.FarPenalty)
 		}
-		left := c.Free.CPU
+		unusedCPU := c.Free.CPU
 		if req.Need.CPU > 0 {
-			left -= int64(room) * req.Need.CPU
+			unusedCPU -= int64(fit) * req.Need.CPU
 		}
-		options = append(options, option{i, room, slow, left})
+		options = append(options, option{i, fit, score, unusedCPU})
 	}
 	if total == 0 || req.All && total < req.Count {
 		return nil
 	}
 	sort.Slice(options, func(a, b int) bool {
 		x, y := options[a], options[b]
-		bx, by := int(x.score/slowStep), int(y.score/slowStep)
-		if bx != by {
-			return bx < by
+		bucketX, bucketY := int(x.score/slownessBucket), int(y.score/slownessBucket)
+		if bucketX != bucketY {
+			return bucketX < bucketY
 		}
-		if x.left != y.left {
-			return x.left < y.left
+		if x.unusedCPU != y.unusedCPU {
+			return x.unusedCPU < y.unusedCPU
 		}
-		if x.room != y.room {
-			return x.room < y.room
+		if x.fit != y.fit {
+			return x.fit < y.fit
 		}
 		return x.index < y.index
 	})
 	chosen := make([]int, 0, req.Count)
 	for _, o := range options {
-		for n := 0; n < o.room && len(chosen) < req.Count; n++ {
+		for n := 0; n < o.fit && len(chosen) < req.Count; n++ {
 			chosen = append(chosen, o.index)
 		}
 	}
 	return chosen
 }
 
-// room returns how many tasks of req fit on c.
-func room(req Request, c *Candidate) int {
+// tasksThatFit returns how many tasks of req fit on c, at most Request.Count.
+func tasksThatFit(req Request, c *Candidate) int {
 	n := req.Need.CountIn(c.Free, req.Count)
 	if req.MaxPerWorker > 0 {
 		n = min(n, req.MaxPerWorker-c.Present)
--- a/internal/cell/placement/placement_test.go
+++ b/internal/cell/placement/placement_test.go
@@ -32,21 +32,21 @@
 		from []Candidate
 		want []int
 	}{
-		{"where it leaves least", Request{Need: cpu(2000), Count: 1}, free(9000, 2500, 4000), []int{1}},
+		{"on the worker with the least CPU left unused", Request{Need: cpu(2000), Count: 1}, free(9000, 2500, 4000), []int{1}},
 		{"as many as fit", Request{Need: cpu(2000), Count: 3}, free(2000, 2100), []int{0, 1}},
 		{"a gang entirely or not at all", Request{Need: cpu(2000), Count: 3, All: true}, free(2000, 2100), nil},
 		{"on one rack", Request{Need: cpu(4000), Count: 2, All: true, SameRack: true}, racks, []int{0, 3}},
 		{"near the data", Request{Need: cpu(4000), Count: 1, PreferredRack: "r2", FarPenalty: 2}, racks, []int{1}},
 		{"away from slow workers", Request{Need: cpu(4000), Count: 1}, slow, []int{1}},
-		{"no more than allowed on one worker", Request{Need: cpu(1000), Count: 3, MaxPerWorker: 2}, present, []int{1, 1}},
-		{"nothing without room", Request{Need: cpu(5000), Count: 1}, free(4000), nil},
+		{"at most the maximum on one worker", Request{Need: cpu(1000), Count: 3, MaxPerWorker: 2}, present, []int{1, 1}},
+		{"nothing without free capacity", Request{Need: cpu(5000), Count: 1}, free(4000), nil},
 	} {
 		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.want, Place(c.req, c.from)) })
 	}
 }
 
-// Load: a fleet that small tasks could cut into pieces too small for large ones.
-func TestSmallTasksLeaveRoomForLargeOnes(t *testing.T) {
+// Small tasks must not fragment the fleet so that large tasks no longer fit.
+func TestSmallTasksLeaveCapacityForLargeOnes(t *testing.T) {
 	fleet := make([]Candidate, 8)
 	for i := range fleet {
 		fleet[i] = Candidate{Free: job.Resources{CPU: 32000, MemMB: 65536}, Slowness: 1}
