--- a/internal/cell/ordering/ordering.go
+++ b/internal/cell/ordering/ordering.go
@@ -1,51 +1,51 @@
-// Package ordering says which of two waiting steps is placed first. It answers the
-// load of a fleet with a long queue: a step that can still end in time goes before
-// one that cannot, so that lateness does not spread from one job to the next.
+// Package ordering decides which of two waiting steps is placed first. It is
+// designed for a fleet with a long queue: a step whose job can still finish in time
+// comes before one whose job cannot, so that a late job does not make others late.
 package ordering
 
 import "time"
 
-// Step is what counts for the order.
+// Step holds the attributes of a waiting step that determine its order.
 type Step struct {
-	Overdue   bool // beyond what its team is owed
-	Priority  int  // zero comes first
-	Arrived   time.Time
-	Objective time.Duration // from the arrival to the end of the job
-	Left      time.Duration // longest chain of work that is left of the job
+	Overdue   bool          // exceeds the entitlement of its team
+	Priority  int           // zero comes first
+	Arrived   time.Time     // arrival of the job
+	Objective time.Duration // target time from the arrival to the end of the job
+	Left      time.Duration // remaining critical path of the job
 }
 
-// lateFactor is how many times its objective a job may take and still be of some
-// use to its caller.
-const lateFactor = 3
+// lateMultiplier is how many times its objective a job may take while its result is
+// still of some use to the caller.
+const lateMultiplier = 3
 
-// Band is how useful the end of a step's job still is.
+// Band classifies a step by the expected end of its job relative to its objective.
 type Band int
 
-// Bands, in the order in which they are served.
+// Bands, in the order in which their steps are placed.
 const (
-	InTime Band = iota
-	Late
-	Useless
+	InTime  Band = iota // within the objective
+	Late                // after the objective, but still useful
+	TooLate             // of no more use to the caller
 )
 
 // BandOf returns the band of s at now.
 func BandOf(s Step, now time.Time) Band {
-	ends := now.Add(s.Left).Sub(s.Arrived)
+	duration := now.Add(s.Left).Sub(s.Arrived)
 	switch {
-	case ends <= s.Objective:
+	case duration <= s.Objective:
 		return InTime
-	case ends <= lateFactor*s.Objective:
+	case duration <= lateMultiplier*s.Objective:
 		return Late
 	}
-	return Useless
+	return TooLate
 }
 
-// Key is a step's place in the order, worked out once for a round of placement.
+// Key is the sort key of a step, computed once for each round of placement.
 type Key struct {
-	overdue  bool
-	band     Band
-	priority int
-	latest   time.Time // by which the job must go on to end in time
+	overEntitlement bool
+	band            Band
+	priority        int
+	latestStart     time.Time // latest time to place the step for the job to finish in time
 }
 
 // KeyOf returns the key of s at now.
@@ -53,15 +53,15 @@
 	return Key{s.Overdue, BandOf(s, now), s.Priority, s.Arrived.Add(s.Objective - s.Left)}
 }
 
-// Before reports whether a is served before b.
+// Before reports whether the step with key a is placed before the one with key b.
 func Before(a, b Key) bool {
 	switch {
-	case a.overdue != b.overdue:
-		return !a.overdue
+	case a.overEntitlement != b.overEntitlement:
+		return !a.overEntitlement
 	case a.band != b.band:
 		return a.band < b.band
 	case a.priority != b.priority:
 		return a.priority < b.priority
 	}
-	return a.latest.Before(b.latest)
+	return a.latestStart.Before(b.latestStart)
 }
