--- a/internal/cell/admission/admission.go
+++ b/internal/cell/admission/admission.go
@@ -1,57 +1,58 @@
-// Package admission decides whether a job is accepted. It answers the load that
-// follows an outage or a burst, when more work waits than the fleet can do in time:
-// what would come too late is refused at once, so that what is accepted is served
-// in time, and callers learn when it makes sense to come back.
+// Package admission decides whether a job is accepted. It is designed for the load
+// after an outage or a burst, when more work waits than the fleet can finish in time:
+// a job that would finish too late is refused at once, so that accepted jobs finish
+// in time, and the caller gets a delay after which a retry is worthwhile.
 package admission
 
 import "time"
 
-// Load is what a new job meets.
+// Load describes the fleet and its queue when a new job arrives.
 type Load struct {
 	Capacity float64 // cores of the usable workers
-	Free     float64 // cores that no task has
-	Waiting  float64 // cores of the tasks that wait and come before the job
-	Ahead    float64 // core-seconds of these tasks
-	Higher   float64 // cores that newly arriving work of higher priority takes
-	Open     float64 // cores that tasks like the job's fit into and that nothing that waits can take
+	Free     float64 // cores that no task occupies
+	Waiting  float64 // cores of the waiting tasks that are ahead of the job
+	Ahead    float64 // core-seconds of work of these tasks
+	Higher   float64 // cores that newly arriving work of higher priority occupies
+	Open     float64 // free cores that tasks like the job's can use and no waiting task can
 }
 
-// Job is what has to be decided on.
+// Job describes the job to decide on.
 type Job struct {
-	Cores     float64       // of the tasks that it starts with
-	Chain     time.Duration // its longest chain of work on an idle fleet
-	Objective time.Duration // from its arrival to its end
-	Overdue   bool          // beyond what its team is owed
+	Cores     float64       // cores of its first tasks
+	Chain     time.Duration // its critical path on an idle fleet
+	Objective time.Duration // target time from its arrival to its end
+	Overdue   bool          // exceeds the entitlement of its team
 }
 
-// Decision is the outcome.
+// Decision is the result of Decide.
 type Decision struct {
 	Accept     bool
-	Why        string
+	Why        string        // reason for a refusal; empty if the job is accepted
 	Wait       time.Duration // expected time in the queue
-	RetryAfter time.Duration
+	RetryAfter time.Duration // delay after which the caller may retry a refused job
 }
 
 const (
-	// leastShare is the part of the fleet that work of low priority is taken to
-	// get, however much arrives above it.
-	leastShare = 0.15
-	// packing is the part of the fleet's cores that tasks of unlike sizes fill.
-	packing = 0.9
-	// overdueWait is the longest wait at which work beyond a team's allowance is
-	// still accepted: there is room for it at once.
-	overdueWait = 250 * time.Millisecond
-	// shortestRetry and longestRetry bound what callers are told.
-	shortestRetry = time.Second
-	longestRetry  = 15 * time.Second
+	// minCapacityRatio is the part of the fleet that work of low priority is assumed
+	// to get, however much work of higher priority arrives.
+	minCapacityRatio = 0.15
+	// packingRatio is the part of the fleet's cores that tasks of different sizes occupy.
+	packingRatio = 0.9
+	// overEntitlementMaxWait is the maximum expected wait at which a job that exceeds
+	// its team's entitlement is still accepted. A shorter wait means that the fleet has
+	// free capacity for it at once.
+	overEntitlementMaxWait = 250 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the delay that callers get.
+	minRetryDelay = time.Second
+	maxRetryDelay = 15 * time.Second
 )
 
-// Decide decides on j under load l.
+// Decide decides whether job j is accepted under load l.
 func Decide(j Job, l Load) Decision {
 	if l.Capacity <= 0 {
-		return Decision{Why: "no worker is usable", RetryAfter: shortestRetry}
+		return Decision{Why: "no worker is usable", RetryAfter: minRetryDelay}
 	}
-	rate := max(l.Capacity*packing-l.Higher, l.Capacity*leastShare)
+	rate := max(l.Capacity*packingRatio-l.Higher, l.Capacity*minCapacityRatio)
 	wait := time.Duration(0)
 	if l.Waiting > l.Free && j.Cores >= l.Open {
 		wait = time.Duration(l.Ahead / rate * float64(time.Second))
@@ -59,16 +60,16 @@
 	slack := j.Objective - j.Chain
 	d := Decision{Wait: wait}
 	switch {
-	case j.Overdue && wait > overdueWait:
+	case j.Overdue && wait > overEntitlementMaxWait:
 		d.Why = "the team is beyond its allowance and the fleet is full"
-		d.RetryAfter = retry(wait)
+		d.RetryAfter = clampRetryDelay(wait)
 	case wait > slack:
 		d.Why = "it would end too late"
-		d.RetryAfter = retry(wait - slack)
+		d.RetryAfter = clampRetryDelay(wait - slack)
 	default:
 		d.Accept = true
 	}
 	return d
 }
 
-func retry(after time.Duration) time.Duration { return min(longestRetry, max(shortestRetry, after)) }
+func clampRetryDelay(d time.Duration) time.Duration { return min(maxRetryDelay, max(minRetryDelay, d)) }
