--- a/internal/cell/advice/advice.go
+++ b/internal/cell/advice/advice.go
@@ -1,35 +1,36 @@
-// Package advice spreads calls to a slow adviser over the instances of the cell.
-// The adviser serves one call at a time for each calling instance. The package
-// answers the load of many short calls beside a few long ones: a short call must
-// not wait behind a long one, so some arms are kept free of long calls.
+// Package advice distributes calls to a slow adviser over the instances of the cell.
+// The adviser serves one call at a time for each calling instance. The package is
+// designed for many short calls mixed with a few long ones: a short call must not
+// wait behind a long one, so some delegates are reserved for short calls.
 package advice
 
 import "time"
 
-// LongCall is the duration from which a call counts as long.
+// LongCall is the minimum duration of a long call.
 const LongCall = 250 * time.Millisecond
 
-// ShortOnly is the share of the arms that take no long calls.
-const ShortOnly = 1.0 / 3
+// ShortOnlyRatio is the part of the delegates that is reserved for short calls.
+const ShortOnlyRatio = 1.0 / 3
 
-// mostQueued is how much work an arm may have waiting, by the kind of call. A call
-// that would wait longer is better asked for later, when more is known.
+// Maximum work that a delegate may have queued for it to get another short or long
+// call. A call that would wait longer is better sent later, when more is known.
 const (
-	mostQueuedShort = 60 * time.Millisecond
-	mostQueuedLong  = 300 * time.Millisecond
+	maxShortBacklog = 60 * time.Millisecond
+	maxLongBacklog  = 300 * time.Millisecond
 )
 
-// Arm is an instance that calls the adviser. The zero value is idle.
+// Arm is a delegate: an instance that calls the adviser for the leader. The zero
+// value is idle.
 type Arm struct {
-	busyUntil time.Time
-	calls     int
-	badUntil  time.Time
+	busyUntil    time.Time // expected end of the calls sent
+	calls        int       // calls that have not ended
+	backoffUntil time.Time
 }
 
-// badArm is how long an arm whose call failed is left alone.
-const badArm = 400 * time.Millisecond
+// failureBackoff is how long a delegate gets no calls after one of its calls failed.
+const failureBackoff = 400 * time.Millisecond
 
-// Take notes a call of that cost that is sent now.
+// Take records that a call of the expected duration cost is sent at now.
 func (a *Arm) Take(now time.Time, cost time.Duration) {
 	if a.calls == 0 || a.busyUntil.Before(now) {
 		a.busyUntil = now
@@ -38,46 +39,48 @@
 	a.calls++
 }
 
-// Done notes the end of a call of that cost.
+// Done records that a call ended at now, and whether it succeeded.
 func (a *Arm) Done(now time.Time, cost time.Duration, ok bool) {
 	a.calls = max(0, a.calls-1)
 	if a.calls == 0 {
 		a.busyUntil = now
 	}
 	if !ok {
-		a.badUntil = now.Add(badArm)
+		a.backoffUntil = now.Add(failureBackoff)
 	}
 }
 
-// Choose returns the index of the arm for a call of that cost, or -1 if every arm
-// has too much waiting.
-func Choose(arms []*Arm, now time.Time, cost time.Duration) int {
+// Choose returns the index of the delegate for a call of the expected duration cost:
+// the one with the shortest wait. It returns -1 if every delegate has too much work
+// queued or is in backoff.
+func Choose(delegates []*Arm, now time.Time, cost time.Duration) int {
 	long := cost >= LongCall
-	first := 0
-	most := mostQueuedShort
+	firstAllowed := 0
+	maxBacklog := maxShortBacklog
 	if long {
-		first = int(float64(len(arms))*ShortOnly + 0.5)
-		most = mostQueuedLong
+		firstAllowed = int(float64(len(delegates))*ShortOnlyRatio + 0.5)
+		maxBacklog = maxLongBacklog
 	}
-	best, bestWait := -1, time.Duration(0)
-	for i := range arms {
-		// Short calls look at the reserved arms first, long ones only at the others.
-		if i < first && len(arms) > 1 {
+	best, minWait := -1, time.Duration(0)
+	for i := range delegates {
+		// Short calls prefer the reserved delegates, which come first; long calls use
+		// only the others. A single delegate takes all calls.
+		if i < firstAllowed && len(delegates) > 1 {
 			continue
 		}
-		a := arms[i]
-		if now.Before(a.badUntil) {
+		a := delegates[i]
+		if now.Before(a.backoffUntil) {
 			continue
 		}
 		wait := max(0, a.busyUntil.Sub(now))
 		if a.calls == 0 {
 			wait = 0
 		}
-		if wait > most {
+		if wait > maxBacklog {
 			continue
 		}
-		if best < 0 || wait < bestWait {
-			best, bestWait = i, wait
+		if best < 0 || wait < minWait {
+			best, minWait = i, wait
 		}
 	}
 	return best
--- a/internal/cell/advice/advice_test.go
+++ b/internal/cell/advice/advice_test.go
@@ -7,43 +7,43 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Load: long calls beyond what the arms can do, and short ones that must not wait
-// behind them.
+// Short calls must not wait behind long ones when there are more long calls than the
+// delegates can serve.
 func TestShortCallsDoNotWaitBehindLongOnes(t *testing.T) {
 	now := time.Unix(1000, 0)
-	arms := make([]*Arm, 9)
-	for i := range arms {
-		arms[i] = &Arm{}
+	delegates := make([]*Arm, 9)
+	for i := range delegates {
+		delegates[i] = &Arm{}
 	}
 	long, short := 900*time.Millisecond, 15*time.Millisecond
 	sent := 0
 	for range 20 {
-		if i := Choose(arms, now, long); i >= 0 {
-			arms[i].Take(now, long)
+		if i := Choose(delegates, now, long); i >= 0 {
+			delegates[i].Take(now, long)
 			sent++
 		}
 	}
-	assert.Equal(t, 6, sent, "one on each arm that takes long calls")
+	assert.Equal(t, 6, sent, "one on each delegate that takes long calls")
 	for range 6 {
-		i := Choose(arms, now, short)
+		i := Choose(delegates, now, short)
 		assert.GreaterOrEqual(t, i, 0)
-		assert.Less(t, i, 3, "on an arm without long calls")
-		arms[i].Take(now, short)
+		assert.Less(t, i, 3, "on a delegate without long calls")
+		delegates[i].Take(now, short)
 	}
 }
 
-func TestFailedArmIsLeftAlone(t *testing.T) {
+func TestFailedDelegateIsInBackoff(t *testing.T) {
 	now := time.Unix(1000, 0)
-	arms := []*Arm{{}, {}}
-	arms[0].Take(now, time.Millisecond)
-	arms[0].Done(now, time.Millisecond, false)
-	assert.Equal(t, 1, Choose(arms, now, time.Millisecond))
-	arms[1].Take(now, time.Millisecond)
-	arms[1].Done(now, time.Millisecond, false)
-	assert.Equal(t, -1, Choose(arms, now, time.Millisecond))
-	assert.GreaterOrEqual(t, Choose(arms, now.Add(time.Second), time.Millisecond), 0)
+	delegates := []*Arm{{}, {}}
+	delegates[0].Take(now, time.Millisecond)
+	delegates[0].Done(now, time.Millisecond, false)
+	assert.Equal(t, 1, Choose(delegates, now, time.Millisecond))
+	delegates[1].Take(now, time.Millisecond)
+	delegates[1].Done(now, time.Millisecond, false)
+	assert.Equal(t, -1, Choose(delegates, now, time.Millisecond))
+	assert.GreaterOrEqual(t, Choose(delegates, now.Add(time.Second), time.Millisecond), 0)
 }
 
-func TestSingleArmTakesEverything(t *testing.T) {
+func TestSingleDelegateTakesAllCalls(t *testing.T) {
 	assert.Equal(t, 0, Choose([]*Arm{{}}, time.Unix(1000, 0), time.Second))
 }
