--- a/internal/cell/record/record.go
+++ b/internal/cell/record/record.go
@@ -1,6 +1,6 @@
-// Package record is the form in which jobs and their progress are kept in the
+// Package record defines the form in which jobs and their progress are kept in the
 // durable store: one record for each job and one for each of its steps. The
-// newest record of a key replaces the ones before.
+// newest record of a key replaces the earlier ones.
 package record
 
 import (
@@ -15,84 +15,85 @@
 	"pollenbend/internal/cell/job"
 )
 
-// Record is one entry of the store. An empty Value drops the key.
+// Record is one entry of the store. An empty Value deletes the key.
 type Record struct {
 	Key   string
 	Value []byte
 }
 
-// State is how a job stands.
+// State is the state of a job.
 type State uint8
 
 // States of a job.
 const (
-	Open State = iota
+	Open State = iota // not finished
 	Completed
 	Failed
 	Canceled
 )
 
-// Final reports whether a job in state s is over.
+// Final reports whether a job in state s has ended.
 func (s State) Final() bool { return s != Open }
 
-// Job is the record of a job. A job that is over keeps only its id, team, queue
+// Job is the record of a job. A job that has ended keeps only its id, team, queue
 // and state.
 type Job struct {
 	Spec     *job.Spec `cbor:"1,keyasint,omitempty"`
 	State    State     `cbor:"2,keyasint,omitempty"`
 	Team     string    `cbor:"3,keyasint,omitempty"`
 	Queue    string    `cbor:"4,keyasint,omitempty"`
-	Accepted int64     `cbor:"5,keyasint,omitempty"` // Unix milliseconds, by the clock of the instance that accepted
+	Accepted int64     `cbor:"5,keyasint,omitempty"` // Unix milliseconds on the clock of the instance that accepted the job
 	Ended    int64     `cbor:"6,keyasint,omitempty"` // Unix milliseconds
 }
 
-// Task is how one task stands.
+// Task is the progress of one task.
 type Task struct {
 	_          struct{} `cbor:",toarray"`
 	Done       bool
-	Run        int    // number of the last run
-	Failures   int    // runs that ended as failed
-	Worker     string // where the last run was sent, empty once its end is known
-	Life       int64  // of that worker
+	Run        int    // number of the latest run
+	Failures   int    // number of runs that failed
+	Worker     string // worker that got the latest run; empty once the end of the run is known
+	Life       int64  // incarnation of Worker
 	Checkpoint string
 }
 
-// Step is how the tasks of a step stand. Copy, where set, is a second run of
-// the task at that index. Good, and Asked, the
-// workers that the adviser was asked about, are kept while tasks wait, as advice is
+// Step is the progress of the tasks of a step. Copies holds the speculative runs by
+// the index of their task. Good holds the workers that the adviser recommended and
+// Asked those that it was asked about. Both are kept while tasks wait, as advice is
 // slow to get.
 type Step struct {
 	Tasks  []Task       `cbor:"1,keyasint"`
 	Copies map[int]Task `cbor:"2,keyasint,omitempty"`
 	Good   []Good       `cbor:"3,keyasint,omitempty"`
-	Asked  Names        `cbor:"4,keyasint,omitempty"`
+	Asked  NameSet      `cbor:"4,keyasint,omitempty"`
 }
 
-// Good is a worker that the adviser has found good for a step, in that life. The
-// answer holds for as long as the worker lives; its ticket does not.
+// Good is a worker that the adviser recommended for a step, in the incarnation Life.
+// The advice is valid for the whole incarnation; its ticket expires earlier.
 type Good struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
 	Life   int64
 }
 
-// Names is a set of names in four bytes each. That it holds one that was not added is
-// as unlikely as one in some million, with some hundreds of names.
-type Names []byte
+// NameSet is a set of names, stored as a hash of four bytes each. With some hundreds
+// of names, the probability that it contains a name that was not added is about one
+// in several million.
+type NameSet []byte
 
-// Add adds a name.
-func (n *Names) Add(name string) { *n = binary.BigEndian.AppendUint32(*n, short(name)) }
+// Add adds name to the set.
+func (n *NameSet) Add(name string) { *n = binary.BigEndian.AppendUint32(*n, nameHash(name)) }
 
-// Set returns a function that tells whether a name was added.
-func (n Names) Set() func(name string) bool {
-	set := make(map[uint32]bool, len(n)/4)
+// Set returns a function that reports whether a name is in the set.
+func (n NameSet) Set() func(name string) bool {
+	hashes := make(map[uint32]bool, len(n)/4)
 	for i := 0; i+3 < len(n); i += 4 {
-		set[binary.BigEndian.Uint32(n[i:])] = true
+		hashes[binary.BigEndian.Uint32(n[i:])] = true
 	}
-	return func(name string) bool { return set[short(name)] }
+	return func(name string) bool { return hashes[nameHash(name)] }
 }
 
-func short(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
+func nameHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 const (
 	jobPrefix  = "j/"
@@ -105,8 +106,8 @@
 // StepKey returns the key of the record of a step.
 func StepKey(ref job.StepRef) string { return stepPrefix + ref.String() }
 
-// ParseKey tells what a key names: a job if step is nil. It returns an error for a
-// key of another form.
+// ParseKey returns the id of the job and, for the key of a step, the step that key
+// identifies. It returns an error if key has neither form.
 func ParseKey(key string) (id string, step *job.StepRef, err error) {
 	if id, ok := strings.CutPrefix(key, jobPrefix); ok {
 		return id, nil, nil
@@ -122,17 +123,19 @@
 	return task.Job, &task.StepRef, nil
 }
 
-// Encode returns the bytes of v, a Job or a Step.
+// Encode returns the CBOR encoding of v. It panics if v is of a type that the codec
+// does not support.
 func Encode(v any) []byte {
 	data, err := cbor.Marshal(v)
 	if err != nil {
-		// The types above have only fields that the codec knows.
+		// The types of this package have only fields that the codec supports.
 		panic(fmt.Sprintf("encode %T: %v", v, err))
 	}
 	return data
 }
 
-// Decode fills v from data. It returns an error for data of another form.
+// Decode decodes data into v. It returns an error if data does not encode the type
+// of v.
 func Decode(data []byte, v any) error {
 	return errors.Wrapf(cbor.Unmarshal(data, v), "decode %T", v)
 }
--- a/internal/cell/record/record_test.go
+++ b/internal/cell/record/record_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestNames(t *testing.T) {
-	var n Names
+	var n NameSet
 	for i := range 350 {
 		n.Add(fmt.Sprintf("worker-%d", i))
 	}
@@ -21,7 +21,7 @@
 		assert.True(t, has(fmt.Sprintf("worker-%d", i)))
 		assert.False(t, has(fmt.Sprintf("other-%d", i)))
 	}
-	assert.False(t, Names("abc").Set()("worker-0"), "a cut entry names nobody")
+	assert.False(t, NameSet("abc").Set()("worker-0"), "a truncated entry is ignored")
 }
 
 func TestStepRoundTrip(t *testing.T) {
@@ -34,7 +34,7 @@
 	require.NoError(t, Decode(Encode(in), out))
 	assert.Equal(t, in, out)
 
-	// A record of before, without advice.
+	// Records of earlier versions have no advice.
 	out = new(Step)
 	require.NoError(t, Decode(Encode(&Step{Tasks: in.Tasks}), out))
 	assert.Empty(t, out.Asked)
