--- a/internal/cell/policy/policy.go
+++ b/internal/cell/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy holds what operators declare for a cell: queues, services,
-// teams and limits, under a version.
+// Package policy holds the versioned declarations of the operators of a cell:
+// queues, services, teams and limits.
 package policy
 
 import (
@@ -9,49 +9,49 @@
 	"pollenbend/internal/cell/job"
 )
 
-// AdviceCost tells how long the adviser of a queue takes and how long its
-// tickets last.
+// AdviceCost describes how long calls to the adviser of a queue take and how long
+// its tickets are valid.
 type AdviceCost struct {
-	Base      time.Duration
-	PerWorker time.Duration
+	Base      time.Duration // of a call
+	PerWorker time.Duration // added for each worker in the call
 	TicketTTL time.Duration
 }
 
-// Of returns how long a call for n workers takes.
+// Of returns the expected duration of a call for n workers.
 func (c AdviceCost) Of(n int) time.Duration { return c.Base + time.Duration(n)*c.PerWorker }
 
-// Queue is an entrance for jobs.
+// Queue is an endpoint to which callers submit jobs.
 type Queue struct {
 	Name          string
 	Host          string
-	Prefix        string // of the path
-	Service       string // whose workers run the tasks
-	Priority      int    // zero comes first
-	Attempts      int    // runs of a task that may fail
+	Prefix        string // of the URL path
+	Service       string // name of the service whose workers run the tasks
+	Priority      int    // zero is the highest
+	Attempts      int    // number of failed runs of a task at which its job fails
 	Stretch       float64
 	LatencyTarget time.Duration
-	Timeout       time.Duration
-	Public        bool        // takes calls without a key
-	Advice        *AdviceCost // nil if any worker may run the tasks
+	Timeout       time.Duration // of a call; zero for the default
+	Public        bool          // accepts calls without a key
+	Advice        *AdviceCost   // nil if the tasks need no advice and any worker may run them
 }
 
 // Service is a pool of workers.
 type Service struct {
 	Name            string
 	HealthPath      string
-	RejectsOverload bool // workers refuse what does not fit
-	Spare           bool // machines that are switched off
+	RejectsOverload bool // workers refuse tasks that exceed their free resources
+	Spare           bool // its machines are switched off
 }
 
-// Team is who work is charged to.
+// Team is the owner of jobs, to which their use of resources is charged.
 type Team struct {
 	Name   string
-	Keys   []string
-	Weight float64       // share of a full fleet, and jobs a second that are owed service
-	Limit  job.Resources // most it may have running; zero for no limit
+	Keys   []string      // keys that authorize calls
+	Weight float64       // fair share of a full fleet, and jobs a second that the team is entitled to
+	Limit  job.Resources // maximum resources of its running tasks; a zero resource has no limit
 }
 
-// HTTPLimits bound what a caller may send.
+// HTTPLimits bound the requests and connections of callers.
 type HTTPLimits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -59,7 +59,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Policy is one version of all declarations. It is not changed once it is made.
+// Policy is one version of all declarations. It is not modified after Index.
 type Policy struct {
 	Version  int64
 	Queues   []Queue
@@ -72,7 +72,8 @@
 	byKey   map[string]*Team
 }
 
-// Index prepares the lookups. It is called once, before p is shared.
+// Index builds the lookup tables of p and returns p. It is called once, before p is
+// shared.
 func (p *Policy) Index() *Policy {
 	p.byQueue = make(map[string]*Queue, len(p.Queues))
 	p.byTeam = make(map[string]*Team, len(p.Teams))
@@ -90,16 +91,16 @@
 	return p
 }
 
-// Queue returns the queue of that name, or nil.
+// Queue returns the queue with the given name, or nil.
 func (p *Policy) Queue(name string) *Queue { return p.byQueue[name] }
 
-// Team returns the team of that name, or nil.
+// Team returns the team with the given name, or nil.
 func (p *Policy) Team(name string) *Team { return p.byTeam[name] }
 
 // TeamOfKey returns the team that key belongs to, or nil.
 func (p *Policy) TeamOfKey(key string) *Team { return p.byKey[key] }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (p *Policy) Service(name string) *Service {
 	for i := range p.Services {
 		if p.Services[i].Name == name {
@@ -109,8 +110,9 @@
 	return nil
 }
 
-// Match returns the queue whose host is host and whose prefix is the longest that
-// path begins with, and the rest of path; nil if there is none.
+// Match returns the queue of the given host with the longest prefix of path, and the
+// remaining path after that prefix. It returns nil if no queue matches. A port in
+// host is ignored.
 func (p *Policy) Match(host, path string) (*Queue, string) {
 	if i := strings.LastIndexByte(host, ':'); i > 0 && !strings.Contains(host[i:], "]") {
 		host = host[:i]
