--- a/internal/cell/job/job.go
+++ b/internal/cell/job/job.go
@@ -191,13 +191,13 @@
 func ParseTask(name string) (TaskRef, error) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 || parts[0] == "" {
-		return TaskRef{}, errors.Newf("not a task: %q", name)
+		return TaskRef{}, errors.Newf("invalid task name %q", name)
 	}
 	var numbers [3]int
 	for i, p := range parts[1:] {
 		n, err := strconv.Atoi(p)
 		if err != nil || n < 0 {
-			return TaskRef{}, errors.Newf("not a task: %q", name)
+			return TaskRef{}, errors.Newf("invalid task name %q", name)
 		}
 		numbers[i] = n
 	}
