--- a/internal/cell/policy/policy.go
+++ b/internal/cell/policy/policy.go
@@ -24,11 +24,11 @@
 type Queue struct {
 	Name          string
 	Host          string
-	Prefix        string // of the URL path
-	Service       string // name of the service whose workers run the tasks
-	Priority      int    // zero is the highest
-	Attempts      int    // number of failed runs of a task at which its job fails
-	Stretch       float64
+	Prefix        string  // of the URL path
+	Service       string  // name of the service whose workers run the tasks
+	Priority      int     // zero is the highest
+	Attempts      int     // number of failed runs of a task at which its job fails
+	Stretch       float64 // objective of a job as a multiple of its critical path, plus LatencyTarget
 	LatencyTarget time.Duration
 	Timeout       time.Duration // of a call; zero for the default
 	Public        bool          // accepts calls without a key
