--- a/internal/cell/node/carryout.go
+++ b/internal/cell/node/actions.go
@@ -13,24 +13,27 @@
 )
 
 const (
-	// appendTimeout bounds one attempt to append, also to a slow store.
+	// appendTimeout bounds one attempt to append. It allows for a slow store.
 	appendTimeout = 1500 * time.Millisecond
-	// appendSuspect is how long an attempt may go without an answer before the store
-	// is probed: if it answers, the attempt was swallowed by an outage.
-	appendSuspect = 400 * time.Millisecond
-	// appendPause is the pause after an append that had no effect.
-	appendPause = 20 * time.Millisecond
-	// adviceSlack is how much longer than promised the adviser may take.
-	adviceSlack = 600 * time.Millisecond
-	// appendBytes is the most that one append carries.
-	appendBytes = 1 << 20
+	// appendProbeDelay is how long an attempt may take before the store is probed. If
+	// the probe is answered, the attempt was lost in an outage.
+	appendProbeDelay = 400 * time.Millisecond
+	// appendRetryDelay is the delay after a failed attempt to append and between two
+	// probes.
+	appendRetryDelay = 20 * time.Millisecond
+	// adviceMargin is how much longer than its declared cost a call to the adviser may
+	// take.
+	adviceMargin = 600 * time.Millisecond
+	// maxAppendBytes is the maximum size of keys and values in one append of several
+	// records.
+	maxAppendBytes = 1 << 20
 )
 
-// carryOut starts an action of the engine. Its result comes back as an event.
-func (l *leader) carryOut(action any) {
+// execute starts an action of the engine. Its result is posted as an event.
+func (l *leader) execute(action any) {
 	switch a := action.(type) {
 	case *engine.Append:
-		go l.append(a)
+		go l.appendBatch(a)
 	case *engine.Start:
 		go func() {
 			ctx, cancel := context.WithTimeout(l.ctx, a.Timeout)
@@ -60,37 +63,38 @@
 	}
 }
 
-// append stores a batch. It tries until the outcome is certain.
-func (l *leader) append(a *engine.Append) {
-	begun := time.Now()
-	for i, part := range split(a.Records) {
+// appendBatch stores a batch and posts the outcome once that is certain.
+func (l *leader) appendBatch(a *engine.Append) {
+	start := time.Now()
+	for i, part := range splitBatch(a.Records) {
 		outcome, certain := l.appendPart(part, i == 0)
 		if !certain {
-			return // the term is over
+			return // the term has ended
 		}
 		if outcome != engine.Stored {
 			l.post(&engine.Appended{Append: a, Outcome: outcome})
 			return
 		}
 	}
-	l.n.stats.Append.UpdateSince(begun)
+	l.n.stats.Append.UpdateSince(start)
 	l.post(&engine.Appended{Append: a, Outcome: engine.Stored})
 }
 
-// appendPart appends records. A first part that the store has refused, with no
-// attempt whose outcome is open, is given back as not stored.
+// appendPart appends records. It retries until the outcome is certain, or returns with
+// certain false when the term ends. The first part of a batch is returned as not stored
+// if the store has refused it and no earlier attempt may have had an effect.
 func (l *leader) appendPart(records []record.Record, first bool) (outcome engine.AppendOutcome, certain bool) {
-	open := false
+	uncertain := false
 	for l.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(l.ctx, appendTimeout)
-		suspect := time.AfterFunc(appendSuspect, func() { l.giveUpIfSwallowed(ctx, cancel) })
+		probe := time.AfterFunc(appendProbeDelay, func() { l.abortOnceStoreAnswers(ctx, cancel) })
 		err := l.n.ports.Store.Append(ctx, l.rec.Term, l.sequence, records)
-		suspect.Stop()
+		probe.Stop()
 		cancel()
 		switch {
 		case err == nil:
 			l.sequence++
-			l.seen()
+			l.noteStoreAnswer()
 			return engine.Stored, true
 		case errors.Is(err, ErrFenced):
 			l.n.log.Warn("append refused", "term", l.rec.Term, "sequence", l.sequence, "reason", err.Error())
@@ -99,36 +103,36 @@
 		if l.ctx.Err() != nil {
 			break
 		}
-		l.refused(err)
-		open = open || !errors.Is(err, ErrNotDone)
-		if first && !open {
+		l.noteStoreFailure(err)
+		uncertain = uncertain || !errors.Is(err, ErrNotDone)
+		if first && !uncertain {
 			return engine.NotStored, true
 		}
-		wait.For(l.ctx, appendPause)
+		wait.For(l.ctx, appendRetryDelay)
 	}
 	return engine.NotStored, false
 }
 
-// giveUpIfSwallowed probes the store until ctx, that of an attempt to append, ends.
-// Once the store answers at its usual speed it ends the attempt, which is then made
-// again.
-func (l *leader) giveUpIfSwallowed(ctx context.Context, cancel context.CancelFunc) {
+// abortOnceStoreAnswers probes the store until ctx, that of an attempt to append, ends.
+// When the store answers a probe, it cancels the attempt, which is then retried.
+func (l *leader) abortOnceStoreAnswers(ctx context.Context, cancel context.CancelFunc) {
 	for ctx.Err() == nil {
-		if l.reachesStore() {
+		if l.probeStore() {
 			cancel()
 			return
 		}
-		wait.For(ctx, appendPause)
+		wait.For(ctx, appendRetryDelay)
 	}
 }
 
-// split cuts records into parts of at most appendBytes.
-func split(records []record.Record) [][]record.Record {
+// splitBatch splits records into parts of at most maxAppendBytes, or of one record that
+// is larger.
+func splitBatch(records []record.Record) [][]record.Record {
 	var parts [][]record.Record
 	first, size := 0, 0
 	for i, r := range records {
 		size += len(r.Key) + len(r.Value)
-		if size > appendBytes && i > first {
+		if size > maxAppendBytes && i > first {
 			parts = append(parts, records[first:i])
 			first, size = i, len(r.Key)+len(r.Value)
 		}
@@ -136,21 +140,21 @@
 	return append(parts, records[first:])
 }
 
-// advise calls the adviser from the arm that the engine chose.
+// advise calls the adviser, through the delegate that the engine has chosen.
 func (l *leader) advise(a *engine.Ask) {
-	ctx, cancel := context.WithTimeout(l.ctx, a.Cost+adviceSlack)
+	ctx, cancel := context.WithTimeout(l.ctx, a.Cost+adviceMargin)
 	defer cancel()
 	l.n.stats.Advice.Inc(1)
 	ev := &engine.Advised{Ask: a}
-	if a.Arm == l.n.set.Instance {
+	if a.Arm == l.n.settings.Instance {
 		good, ttl, err := l.n.ports.Adviser.Advise(ctx, a.Step, a.Workers)
 		ev.Good, ev.TTL, ev.OK = good, ttl, err == nil
 		l.post(ev)
 		return
 	}
 	var reply AdviseReply
-	args := AdviseArgs{Step: a.Step, Workers: a.Workers, Timeout: a.Cost + adviceSlack}
-	address := l.armAddress(a.Arm)
+	args := AdviseArgs{Step: a.Step, Workers: a.Workers, Timeout: a.Cost + adviceMargin}
+	address := l.followerAddress(a.Arm)
 	if address == "" {
 		l.post(ev)
 		return
--- a/internal/cell/node/cluster_test.go
+++ b/internal/cell/node/cluster_test.go
@@ -24,20 +24,20 @@
 // cluster runs instances in one process and in virtual time, on a network of pipes
 // and a store in memory.
 type cluster struct {
-	t     *testing.T
-	store *memory
-	mu    sync.Mutex
-	nodes map[string]*member
-	cut   map[string]bool // instances that no other reaches
+	t           *testing.T
+	store       *memoryStore
+	mu          sync.Mutex
+	members     map[string]*member
+	unreachable map[string]bool // instances that no other reaches
 }
 
 type member struct {
 	*Node
 	address string
 	cancel  context.CancelFunc
-	gone    chan struct{}
+	stopped chan struct{}
 	conns   chan net.Conn
-	access  *access
+	store   *storeAccess
 	pipes   []*pipe
 }
 
@@ -46,9 +46,9 @@
 var _ = NewStats()
 
 // play runs f on a cluster of n instances in virtual time.
-func play(t *testing.T, n int, f func(t *testing.T, c *cluster)) {
+func runCluster(t *testing.T, n int, f func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &cluster{t: t, store: newMemory(), nodes: make(map[string]*member), cut: make(map[string]bool)}
+		c := &cluster{t: t, store: newMemoryStore(), members: make(map[string]*member), unreachable: make(map[string]bool)}
 		for i := range n {
 			c.start(fmt.Sprintf("i%d", i), 1)
 		}
@@ -68,7 +68,7 @@
 	defer c.mu.Unlock()
 	var all []*member
 	for i := range 100 {
-		if m := c.nodes[fmt.Sprintf("i%d", i)]; m != nil {
+		if m := c.members[fmt.Sprintf("i%d", i)]; m != nil {
 			all = append(all, m)
 		}
 	}
@@ -77,7 +77,7 @@
 
 // start starts an instance with a share of a core.
 func (c *cluster) start(name string, share float64) *member {
-	m := &member{address: name + ":1", gone: make(chan struct{}), conns: make(chan net.Conn), access: &access{memory: c.store}}
+	m := &member{address: name + ":1", stopped: make(chan struct{}), conns: make(chan net.Conn), store: &storeAccess{memoryStore: c.store}}
 	set := Settings{
 		Instance: name, Address: m.address, CPUShare: share,
 		Engine: engine.Config{
@@ -88,7 +88,7 @@
 		},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) { return c.dial(ctx, m, address) },
 	}
-	ports := Ports{Store: m.access, Directory: directory{m.access, new(atomic.Bool)}, Workers: oneWorker{}, Policies: fixedPolicy{m}}
+	ports := Ports{Store: m.store, Directory: directory{m.store, new(atomic.Bool)}, Workers: oneWorker{}, Policies: fixedPolicy{m}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	if testing.Verbose() {
 		log = slog.New(slog.NewTextHandler(c.t.Output(), nil))
@@ -97,11 +97,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
 	c.mu.Lock()
-	c.nodes[name] = m
+	c.members[name] = m
 	c.mu.Unlock()
 	go func() {
 		m.Run(ctx, m)
-		close(m.gone)
+		close(m.stopped)
 	}()
 	return m
 }
@@ -109,12 +109,12 @@
 // kill ends an instance without notice.
 func (c *cluster) kill(m *member) {
 	c.mu.Lock()
-	delete(c.nodes, m.set.Instance)
+	delete(c.members, m.settings.Instance)
 	pipes := m.pipes
 	c.mu.Unlock()
-	m.access.set(refuses)
+	m.store.setMode(storeRefuses)
 	m.cancel()
-	<-m.gone
+	<-m.stopped
 	for _, p := range pipes {
 		_ = p.Conn.Close()
 	}
@@ -122,17 +122,17 @@
 
 // leader returns the only instance that leads, or nil.
 func (c *cluster) leader() *member {
-	var leads *member
+	var found *member
 	for _, m := range c.all() {
 		if m.leading.Load() == nil {
 			continue
 		}
-		if leads != nil {
-			c.t.Errorf("both %s and %s lead", leads.set.Instance, m.set.Instance)
+		if found != nil {
+			c.t.Errorf("both %s and %s lead", found.settings.Instance, m.settings.Instance)
 		}
-		leads = m
+		found = m
 	}
-	return leads
+	return found
 }
 
 // follower returns an instance that does not lead.
@@ -158,14 +158,14 @@
 		return nil, errors.Mark(errors.New("refused"), peer.ErrRefused)
 	}
 	here, there := net.Pipe()
-	a, b := &pipe{Conn: here, c: c, ends: [2]string{from.set.Instance, to.set.Instance}}, &pipe{Conn: there, c: c, ends: [2]string{from.set.Instance, to.set.Instance}}
+	a, b := &pipe{Conn: here, c: c, instances: [2]string{from.settings.Instance, to.settings.Instance}}, &pipe{Conn: there, c: c, instances: [2]string{from.settings.Instance, to.settings.Instance}}
 	c.mu.Lock()
 	from.pipes, to.pipes = append(from.pipes, a), append(to.pipes, b)
 	c.mu.Unlock()
 	select {
 	case to.conns <- b:
 		return a, nil
-	case <-to.gone:
+	case <-to.stopped:
 		return nil, errors.Mark(errors.New("refused"), peer.ErrRefused)
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -177,7 +177,7 @@
 	select {
 	case conn := <-m.conns:
 		return conn, nil
-	case <-m.gone:
+	case <-m.stopped:
 		return nil, net.ErrClosed
 	}
 }
@@ -191,14 +191,14 @@
 // pipe loses what is written while one of its ends is cut off.
 type pipe struct {
 	net.Conn
-	c    *cluster
-	ends [2]string
+	c         *cluster
+	instances [2]string
 }
 
 // Write implements net.Conn.
 func (p *pipe) Write(b []byte) (int, error) {
 	p.c.mu.Lock()
-	lost := p.c.cut[p.ends[0]] || p.c.cut[p.ends[1]]
+	lost := p.c.unreachable[p.instances[0]] || p.c.unreachable[p.instances[1]]
 	p.c.mu.Unlock()
 	if lost {
 		return len(b), nil
@@ -207,7 +207,7 @@
 }
 
 // memory is a store.
-type memory struct {
+type memoryStore struct {
 	mu      sync.Mutex
 	leaders []Leadership
 	term    int64
@@ -215,61 +215,61 @@
 	records map[string][]byte
 }
 
-func newMemory() *memory { return &memory{records: make(map[string][]byte)} }
+func newMemoryStore() *memoryStore { return &memoryStore{records: make(map[string][]byte)} }
 
 // mode is how the store treats an instance.
-type mode int
+type storeMode int
 
 const (
-	serves mode = iota
-	refuses
-	silent
+	storeServes storeMode = iota
+	storeRefuses
+	storeNoAnswer
 )
 
 // access is the store as one instance sees it.
-type access struct {
-	*memory
-	mu   sync.Mutex
-	mode mode
-	x    time.Duration // how many times as long the store takes; zero is once
+type storeAccess struct {
+	*memoryStore
+	mu       sync.Mutex
+	mode     storeMode
+	slowdown time.Duration // how many times as long the store takes; zero is once
 }
 
-func (a *access) slow(x time.Duration) {
+func (a *storeAccess) setSlowdown(factor time.Duration) {
 	a.mu.Lock()
-	a.x = x
+	a.slowdown = factor
 	a.mu.Unlock()
 }
 
-func (a *access) set(m mode) {
+func (a *storeAccess) setMode(m storeMode) {
 	a.mu.Lock()
 	a.mode = m
 	a.mu.Unlock()
 }
 
-const storeAnswers = 4 * time.Millisecond
+const storeLatency = 4 * time.Millisecond
 
-func (a *access) call(ctx context.Context, f func() error) error {
+func (a *storeAccess) call(ctx context.Context, f func() error) error {
 	a.mu.Lock()
-	mode, x := a.mode, max(1, a.x)
+	mode, slowdown := a.mode, max(1, a.slowdown)
 	a.mu.Unlock()
-	time.Sleep(x * storeAnswers)
+	time.Sleep(slowdown * storeLatency)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	switch mode {
-	case refuses:
+	case storeRefuses:
 		return errors.Mark(errors.New("refused"), ErrNotDone)
-	case silent:
+	case storeNoAnswer:
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	a.memory.mu.Lock()
-	defer a.memory.mu.Unlock()
+	a.memoryStore.mu.Lock()
+	defer a.memoryStore.mu.Unlock()
 	return f()
 }
 
 // ReadLeadership implements Store.
-func (a *access) ReadLeadership(ctx context.Context) (rec Leadership, at, next int64, found bool, err error) {
+func (a *storeAccess) ReadLeadership(ctx context.Context) (rec Leadership, at, next int64, found bool, err error) {
 	err = a.call(ctx, func() error {
 		next = int64(len(a.leaders))
 		if next > 0 {
@@ -281,7 +281,7 @@
 }
 
 // WriteLeadership implements Store.
-func (a *access) WriteLeadership(ctx context.Context, rec Leadership, next int64) error {
+func (a *storeAccess) WriteLeadership(ctx context.Context, rec Leadership, next int64) error {
 	return a.call(ctx, func() error {
 		if next != int64(len(a.leaders)) {
 			return ErrConflict
@@ -292,7 +292,7 @@
 }
 
 // Fence implements Store.
-func (a *access) Fence(ctx context.Context, term int64) error {
+func (a *storeAccess) Fence(ctx context.Context, term int64) error {
 	return a.call(ctx, func() error {
 		if term < a.term {
 			return ErrFenced
@@ -303,7 +303,7 @@
 }
 
 // Append implements Store.
-func (a *access) Append(ctx context.Context, term, sequence int64, records []record.Record) error {
+func (a *storeAccess) Append(ctx context.Context, term, sequence int64, records []record.Record) error {
 	return a.call(ctx, func() error {
 		if term < a.term {
 			return ErrFenced
@@ -320,7 +320,7 @@
 }
 
 // Load implements Store.
-func (a *access) Load(ctx context.Context, f func(record.Record)) error {
+func (a *storeAccess) Load(ctx context.Context, f func(record.Record)) error {
 	return a.call(ctx, func() error {
 		for key, value := range a.records {
 			f(record.Record{Key: key, Value: value})
@@ -332,8 +332,8 @@
 // directory lists a single worker. It tells of it as changed once in the life of its
 // instance, as the platform's does.
 type directory struct {
-	*access
-	told *atomic.Bool
+	*storeAccess
+	reported *atomic.Bool
 }
 
 // Poll implements Directory.
@@ -341,27 +341,27 @@
 	if err := d.call(ctx, func() error { return nil }); err != nil {
 		return nil, false, err
 	}
-	return []engine.Listed{{ID: "w", Life: 1, Address: "w:1", Service: "s", Capacity: job.Resources{CPU: 64000, MemMB: 64000}}}, !d.told.Swap(true), nil
+	return []engine.Listed{{ID: "w", Life: 1, Address: "w:1", Service: "s", Capacity: job.Resources{CPU: 64000, MemMB: 64000}}}, !d.reported.Swap(true), nil
 }
 
 // oneWorker takes every order.
 type oneWorker struct{}
 
 // Start implements Workers.
-func (oneWorker) Start(_ context.Context, _ int64, order *engine.Start) *engine.StartAnswered {
-	return &engine.StartAnswered{Start: order, Life: 1, Clock: time.Now().UnixMilli()}
+func (oneWorker) Start(_ context.Context, _ int64, command *engine.Start) *engine.StartAnswered {
+	return &engine.StartAnswered{Start: command, Life: 1, Clock: time.Now().UnixMilli()}
 }
 
 // Stop implements Workers.
-func (oneWorker) Stop(_ context.Context, _ int64, order *engine.Stop) *engine.StopAnswered {
-	return &engine.StopAnswered{Stop: order, Life: 1}
+func (oneWorker) Stop(_ context.Context, _ int64, command *engine.Stop) *engine.StopAnswered {
+	return &engine.StopAnswered{Stop: command, Life: 1}
 }
 
 // Look implements Workers.
-func (oneWorker) Look(_ context.Context, _ int64, order *engine.Look) *engine.Looked {
+func (oneWorker) Look(_ context.Context, _ int64, renewal *engine.Look) *engine.Looked {
 	sent := time.Now()
-	time.Sleep(order.Wait)
-	return &engine.Looked{Worker: order.Worker, Life: 1, Sent: sent, Report: &engine.Report{Life: 1, Clock: time.Now().UnixMilli()}}
+	time.Sleep(renewal.Wait)
+	return &engine.Looked{Worker: renewal.Worker, Life: 1, Sent: sent, Report: &engine.Report{Life: 1, Clock: time.Now().UnixMilli()}}
 }
 
 // fixedPolicy declares one queue. It reads the store as the platform's does.
@@ -376,7 +376,7 @@
 	}).Index())
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, time.Second)
-		if p.m.access.call(call, func() error { return nil }) == nil {
+		if p.m.store.call(call, func() error { return nil }) == nil {
 			p.m.StoreSeen()
 		}
 		<-call.Done()
--- a/internal/cell/node/handover.go
+++ b/internal/cell/node/handover.go
@@ -5,124 +5,125 @@
 	"time"
 )
 
-// considerHandover hands over when the store turns this leader away but not others, or
-// when a much stronger instance could lead.
-func (l *leader) considerHandover(live []*armState) {
-	failing := l.failing.Load()
-	refused := failing != 0 && time.Since(l.n.born)-time.Duration(failing) > refusedBeforeHandover
-	silent := l.n.since(&l.n.storeSeen)
-	cutOff := refused || silent > silentBeforeHandover
-	if !cutOff {
-		l.onlyWeak = time.Time{}
-		l.yieldToStronger(live)
+// considerHandover hands over if the store does not answer this leader but answers
+// another instance, or if an instance with much more CPU could lead.
+func (l *leader) considerHandover(live []*follower) {
+	failingSince := l.storeFailingSince.Load()
+	failing := failingSince != 0 && time.Since(l.n.startedAt)-time.Duration(failingSince) > storeRefusedHandoverDelay
+	sinceAnswer := l.n.since(&l.n.storeAnsweredAt)
+	unreachable := failing || sinceAnswer > storeNoAnswerHandoverDelay
+	if !unreachable {
+		l.onlyLowCPUSince = time.Time{}
+		l.handOverToMoreCPU(live)
 		return
 	}
-	best := l.strongestThat(live, func(a *armState) bool { return a.StoreAge+time.Since(a.at) <= silent-armStoreMargin })
-	if best == nil {
-		l.onlyWeak = time.Time{}
+	successor := l.mostCPU(live, func(f *follower) bool { return f.StoreAge+time.Since(f.pingedAt) <= sinceAnswer-storeAnswerMargin })
+	if successor == nil {
+		l.onlyLowCPUSince = time.Time{}
 		return
 	}
-	if weak(best.CPUShare, strongest(live, l.n.set.CPUShare)) {
-		if l.onlyWeak.IsZero() {
-			l.onlyWeak = time.Now()
+	if lowCPU(successor.CPUShare, maxCPUShare(live, l.n.settings.CPUShare)) {
+		if l.onlyLowCPUSince.IsZero() {
+			l.onlyLowCPUSince = time.Now()
 		}
-		if time.Since(l.onlyWeak) < waitForStrong {
+		if time.Since(l.onlyLowCPUSince) < lowCPUHandoverDelay {
 			return
 		}
 	}
-	if l.reachesStore() {
-		return // it has come back here as well
+	if l.probeStore() {
+		return // the store answers this leader again
 	}
-	l.handOver(best)
+	l.handOver(successor)
 }
 
-// probeTimeout bounds a try of the store, many times what a sound store takes.
+// probeTimeout bounds a probe of the store. It is many times as long as a healthy store
+// takes to answer.
 const probeTimeout = 200 * time.Millisecond
 
-// reachesStore tries whether the store answers this leader again.
-func (l *leader) reachesStore() bool {
+// probeStore reports whether the store answers this leader.
+func (l *leader) probeStore() bool {
 	ctx, cancel := context.WithTimeout(l.ctx, probeTimeout)
 	defer cancel()
 	if _, _, _, _, err := l.n.readLeadership(ctx); err != nil {
-		l.n.log.Debug("store probed in vain", "term", l.rec.Term, "reason", err.Error())
+		l.n.log.Debug("store probe failed", "term", l.rec.Term, "reason", err.Error())
 		return false
 	}
-	l.seen()
+	l.noteStoreAnswer()
 	return true
 }
 
-// strongest returns the largest share of a core of the instances in live and of own.
-func strongest(live []*armState, own float64) float64 {
-	for _, a := range live {
-		own = max(own, a.CPUShare)
+// maxCPUShare returns the largest of share and the CPU shares of the instances in live.
+func maxCPUShare(live []*follower, share float64) float64 {
+	for _, f := range live {
+		share = max(share, f.CPUShare)
 	}
-	return own
+	return share
 }
 
-// weak reports whether an instance with that share of a core should leave the
-// leadership to the strongest of its cell.
-func weak(share, strongest float64) bool { return share < strongest/strongerFactor }
+// lowCPU reports whether an instance has so little CPU, compared with the largest CPU
+// share in its cell, that it should leave the leadership to others.
+func lowCPU(share, largest float64) bool { return share < largest/minCPUShareRatio }
 
 const (
-	// strongerFactor is how much more of a core an instance must have to count as
-	// stronger than another.
-	strongerFactor = 1.5
-	// waitForStrong is how long only weak instances must have reached the store before
-	// a leader that does not hands over to one of them. They take seconds to load the
-	// state of a large cell.
-	waitForStrong = 2500 * time.Millisecond
-	// settledTerm is how long a term lasts at least before it is handed to a stronger
-	// instance.
-	settledTerm = 2 * time.Second
+	// minCPUShareRatio is how many times the CPU share of another instance an instance
+	// must have to be preferred as the leader.
+	minCPUShareRatio = 1.5
+	// lowCPUHandoverDelay is how long only low-CPU instances must have reached the store
+	// before a leader that does not reach it hands over to one of them. They take
+	// seconds to load the state of a large cell.
+	lowCPUHandoverDelay = 2500 * time.Millisecond
+	// minTermDuration is how long a term must have lasted before the leader hands over
+	// to an instance because of its CPU share.
+	minTermDuration = 2 * time.Second
 )
 
-// yieldToStronger hands over to an instance that is much stronger, if there is one
-// that reaches the store.
-func (l *leader) yieldToStronger(live []*armState) {
-	if time.Since(l.begun) < settledTerm {
+// handOverToMoreCPU hands over to an instance that has much more CPU and reaches the
+// store, if there is one.
+func (l *leader) handOverToMoreCPU(live []*follower) {
+	if time.Since(l.startedAt) < minTermDuration {
 		return
 	}
-	best := l.strongestThat(live, func(a *armState) bool {
-		return a.CPUShare >= l.n.set.CPUShare*strongerFactor && a.StoreAge <= storeAway
+	best := l.mostCPU(live, func(f *follower) bool {
+		return f.CPUShare >= l.n.settings.CPUShare*minCPUShareRatio && f.StoreAge <= storeUnreachableTimeout
 	})
 	if best != nil {
 		l.handOver(best)
 	}
 }
 
-// strongestThat returns the arm with the most processor of those that fit, other than
+// mostCPU returns the eligible instance in live with the largest CPU share, other than
 // this instance, or nil.
-func (l *leader) strongestThat(live []*armState, fits func(*armState) bool) *armState {
-	var best *armState
-	for _, a := range live {
-		if a.Instance != l.n.set.Instance && fits(a) && (best == nil || a.CPUShare > best.CPUShare) {
-			best = a
+func (l *leader) mostCPU(live []*follower, eligible func(*follower) bool) *follower {
+	var best *follower
+	for _, f := range live {
+		if f.Instance != l.n.settings.Instance && eligible(f) && (best == nil || f.CPUShare > best.CPUShare) {
+			best = f
 		}
 	}
 	return best
 }
 
-// successor returns the strongest instance that reaches the store, or nil if only
-// much weaker ones do.
-func (l *leader) successor() *armState {
-	live := l.liveArms()
-	best := l.strongestThat(live, func(a *armState) bool { return a.StoreAge+time.Since(a.at) <= storeAway })
-	if best != nil && weak(best.CPUShare, strongest(live, l.n.set.CPUShare)) {
+// successor returns the instance with the largest CPU share of those that reach the
+// store, or nil if only low-CPU instances do.
+func (l *leader) successor() *follower {
+	live := l.liveFollowers()
+	best := l.mostCPU(live, func(f *follower) bool { return f.StoreAge+time.Since(f.pingedAt) <= storeUnreachableTimeout })
+	if best != nil && lowCPU(best.CPUShare, maxCPUShare(live, l.n.settings.CPUShare)) {
 		return nil
 	}
 	return best
 }
 
-// handOver has an instance claim the leadership, and ends the term here. It reports
-// whether that instance was reached.
-func (l *leader) handOver(to *armState) bool {
+// handOver asks an instance to claim the leadership and ends the term on this one. It
+// reports whether the call succeeded; otherwise the term goes on.
+func (l *leader) handOver(to *follower) bool {
 	ctx, cancel := context.WithTimeout(l.ctx, pingTimeout)
 	defer cancel()
 	if err := l.n.peers.Get(to.Address).Call(ctx, serviceName+".TakeOver", &struct{}{}, &struct{}{}); err != nil {
 		l.n.log.Warn("handover failed", "to", to.Instance, "reason", err.Error())
 		return false
 	}
-	l.n.log.Info("handed over", "to", to.Instance, "term", l.rec.Term, "store_silent_ms", l.n.since(&l.n.storeSeen).Milliseconds(),
+	l.n.log.Info("handed over", "to", to.Instance, "term", l.rec.Term, "store_silent_ms", l.n.since(&l.n.storeAnsweredAt).Milliseconds(),
 		"cpu_share", to.CPUShare)
 	l.stop("handed over to " + to.Instance)
 	return true
--- a/internal/cell/node/leader.go
+++ b/internal/cell/node/leader.go
@@ -13,45 +13,46 @@
 	"pollenbend/internal/wait"
 )
 
-// leader runs the engine for one term. One goroutine owns the engine; others carry
-// out its actions and bring the results back as events.
+// leader runs the engine for one term. One goroutine owns the engine; others execute its
+// actions and return the results as events.
 type leader struct {
-	n      *Node
-	rec    Leadership
-	events chan any
-	done   chan struct{} // closed when the term is over here
-	once   sync.Once
-	cancel context.CancelFunc
-	ctx    context.Context
+	n        *Node
+	rec      Leadership
+	events   chan any
+	done     chan struct{} // closed when the term ends on this instance
+	stopOnce sync.Once
+	cancel   context.CancelFunc
+	ctx      context.Context
 
-	onlyWeak time.Time    // since when only weak instances reach the store, if so
-	begun    time.Time    // when the term began here
-	sequence int64        // of the next append
-	failing  atomic.Int64 // since when the store refuses every call, zero if it does not
+	onlyLowCPUSince   time.Time    // since when only low-CPU instances reach the store; zero if others do
+	startedAt         time.Time    // when the term began on this instance
+	sequence          int64        // sequence number of the next append
+	storeFailingSince atomic.Int64 // since when every call to the store fails, in nanoseconds since Node.startedAt; zero if the last one succeeded
 
-	mu   sync.Mutex
-	arms map[string]*armState
+	mu        sync.Mutex
+	followers map[string]*follower // by instance name
 }
 
-// armState is an instance that pings this leader.
-type armState struct {
+// follower is the last ping of an instance that follows this leader.
+type follower struct {
 	PingArgs
-	at time.Time
+	pingedAt time.Time
 }
 
 const (
-	// eventQueue is how many events may wait for the engine.
-	eventQueue = 8192
-	// eventBatch is how many events are taken in before actions go out.
-	eventBatch = 128
-	// tickEvery is how often the engine runs without an event.
-	tickEvery = 10 * time.Millisecond
-	// renewEvery is the pause between two renewals of the leadership record.
-	renewEvery = 400 * time.Millisecond
-	// pollWorkersEvery is the pause between two reads of the directory.
-	pollWorkersEvery = 300 * time.Millisecond
-	// armSilent is how long an instance that is silent still counts as an arm.
-	armSilent = 800 * time.Millisecond
+	// maxQueuedEvents is how many events may wait for the engine.
+	maxQueuedEvents = 8192
+	// maxEventBatch is how many queued events, after the first, the engine handles
+	// before its actions are executed.
+	maxEventBatch = 128
+	// tickInterval is how often the engine runs when there are no events.
+	tickInterval = 10 * time.Millisecond
+	// leadershipRenewInterval is the delay between two renewals of the leadership record.
+	leadershipRenewInterval = 400 * time.Millisecond
+	// directoryPollInterval is the delay between two reads of the directory.
+	directoryPollInterval = 300 * time.Millisecond
+	// followerTimeout is how long after its last ping an instance counts as a follower.
+	followerTimeout = 800 * time.Millisecond
 	// loadTimeout bounds one attempt to load the state.
 	loadTimeout = 8 * time.Second
 )
@@ -59,52 +60,52 @@
 // preparing reports whether this instance has claimed the leadership and is
 // loading its state.
 func (n *Node) preparing() bool {
-	k := n.known.Load()
-	return k != nil && k.Session == n.session
+	known := n.knownLeader.Load()
+	return known != nil && known.Session == n.incarnation
 }
 
-// lead prepares the engine and runs it until the term is over. next is the place
-// of the next leadership record.
+// lead prepares the engine and runs it until the term ends. next is the offset of the
+// next leadership record.
 func (n *Node) lead(ctx context.Context, rec *Leadership, next int64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	l := &leader{n: n, rec: *rec, events: make(chan any, eventQueue), done: make(chan struct{}),
-		cancel: cancel, ctx: ctx, arms: make(map[string]*armState), sequence: 1, begun: time.Now()}
+	l := &leader{n: n, rec: *rec, events: make(chan any, maxQueuedEvents), done: make(chan struct{}),
+		cancel: cancel, ctx: ctx, followers: make(map[string]*follower), sequence: 1, startedAt: time.Now()}
 	renewed := make(chan struct{})
 	go func() {
 		defer close(renewed)
-		l.renew(next)
+		l.renewLeadership(next)
 	}()
 	e := l.prepare()
 	if e != nil {
 		n.leading.Store(l)
-		n.wake()
+		n.notifyLeaderChanged()
 		if p := n.policy.Load(); p != nil {
 			l.post(&engine.PolicyChanged{Policy: p})
 		}
 		go l.pollWorkers()
-		go l.watchArms()
+		go l.watchFollowers()
 		l.run(e)
 	}
-	l.stop("term over")
+	l.stop("term ended")
 	n.leading.CompareAndSwap(l, nil)
-	n.known.Store(nil)
-	n.wake()
+	n.knownLeader.Store(nil)
+	n.notifyLeaderChanged()
 	<-renewed
 }
 
-// stop ends the term here.
-func (l *leader) stop(why string) {
-	l.once.Do(func() {
-		l.n.log.Info("no longer leading", "term", l.rec.Term, "reason", why)
+// stop ends the term on this instance.
+func (l *leader) stop(reason string) {
+	l.stopOnce.Do(func() {
+		l.n.log.Info("no longer leading", "term", l.rec.Term, "reason", reason)
 		l.cancel()
 		close(l.done)
 	})
 }
 
-// run owns the engine until the term is over.
+// run owns the engine until the term ends.
 func (l *leader) run(e *engine.Engine) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -113,23 +114,24 @@
 		case <-ticker.C:
 		case ev := <-l.events:
 			l.handle(e, ev)
-			l.drain(e)
+			l.handleQueued(e)
 		}
 		for _, action := range e.Settle(time.Now()) {
-			l.carryOut(action)
+			l.execute(action)
 		}
 	}
 }
 
+// handle passes one event to the engine.
 func (l *leader) handle(e *engine.Engine, ev any) {
 	start := time.Now()
 	e.Handle(start, ev)
 	l.n.stats.Events.Inc(1)
 }
 
-// drain takes in the events that wait, up to a batch.
-func (l *leader) drain(e *engine.Engine) {
-	for range eventBatch {
+// handleQueued handles the events that are queued, at most maxEventBatch.
+func (l *leader) handleQueued(e *engine.Engine) {
+	for range maxEventBatch {
 		select {
 		case ev := <-l.events:
 			l.handle(e, ev)
@@ -139,7 +141,7 @@
 	}
 }
 
-// post hands an event to the engine, unless the term is over.
+// post queues an event for the engine, unless the term has ended.
 func (l *leader) post(event any) {
 	select {
 	case l.events <- event:
@@ -147,8 +149,8 @@
 	}
 }
 
-// ask posts the event that event makes and waits for its answer. ok is false if
-// ctx or the term ended first.
+// ask posts the event that event returns and waits for the engine's answer to it. ok is
+// false if ctx or the term ended first.
 func (l *leader) ask(ctx context.Context, event func(func(engine.Answer)) any) (answer engine.Answer, ok bool) {
 	answers := make(chan engine.Answer, 1)
 	l.post(event(func(a engine.Answer) {
@@ -166,100 +168,104 @@
 	return engine.Answer{}, false
 }
 
-// pinged notes an instance that follows this leader.
-func (l *leader) pinged(args *PingArgs) {
+// recordPing records the ping of an instance that follows this leader.
+func (l *leader) recordPing(args *PingArgs) {
 	l.mu.Lock()
-	l.arms[args.Instance] = &armState{PingArgs: *args, at: time.Now()}
+	l.followers[args.Instance] = &follower{PingArgs: *args, pingedAt: time.Now()}
 	l.mu.Unlock()
 }
 
-// liveArms returns the instances that pinged lately, by name.
-func (l *leader) liveArms() []*armState {
+// liveFollowers returns the instances that pinged within followerTimeout and do not
+// drain, sorted by name.
+func (l *leader) liveFollowers() []*follower {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var live []*armState
-	for _, name := range slices.Sorted(maps.Keys(l.arms)) {
-		a := l.arms[name]
-		if time.Since(a.at) > armSilent {
-			delete(l.arms, name)
+	var live []*follower
+	for _, name := range slices.Sorted(maps.Keys(l.followers)) {
+		f := l.followers[name]
+		if time.Since(f.pingedAt) > followerTimeout {
+			delete(l.followers, name)
 			continue
 		}
-		if !a.Draining {
-			live = append(live, a)
+		if !f.Draining {
+			live = append(live, f)
 		}
 	}
 	return live
 }
 
-func (l *leader) armAddress(name string) string {
+// followerAddress returns the address of an instance that follows this leader, or "".
+func (l *leader) followerAddress(name string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if a := l.arms[name]; a != nil {
-		return a.Address
+	if f := l.followers[name]; f != nil {
+		return f.Address
 	}
 	return ""
 }
 
 const (
-	// watchArmsEvery is how often the list of arms is worked out.
-	watchArmsEvery = 200 * time.Millisecond
-	// refusedBeforeHandover is how long the store may refuse this leader before an
-	// instance that reaches it takes over.
-	refusedBeforeHandover = 500 * time.Millisecond
-	// silentBeforeHandover is the same for a store that does not answer. It is
-	// longer than a slow answer takes.
-	silentBeforeHandover = time.Second
-	// silentBeforeProbe is how long the store may be silent before the other
-	// instances are asked, with the answers to their pings, to try it.
-	silentBeforeProbe = 500 * time.Millisecond
-	// armStoreMargin is how much later than this leader's last answer from the store
-	// an arm must have had one to take over: more than the age of what pings tell.
-	armStoreMargin = 400 * time.Millisecond
+	// followersInterval is the delay between two updates of the list of followers.
+	followersInterval = 200 * time.Millisecond
+	// storeRefusedHandoverDelay is how long every call of this leader to the store must
+	// have failed before an instance that reaches it takes over.
+	storeRefusedHandoverDelay = 500 * time.Millisecond
+	// storeNoAnswerHandoverDelay is the same for a store that does not answer. It is
+	// longer than a slow store takes to answer.
+	storeNoAnswerHandoverDelay = time.Second
+	// storeNoAnswerProbeDelay is how long the store must not have answered before the
+	// leader, in its answers to pings, asks the other instances to probe it.
+	storeNoAnswerProbeDelay = 500 * time.Millisecond
+	// storeAnswerMargin is how much later than this leader a follower must have had its
+	// last answer from the store to take over. It is longer than the age of what pings
+	// report.
+	storeAnswerMargin = 400 * time.Millisecond
 )
 
-// watchArms keeps the engine's list of arms and hands over when the store turns
-// this leader away but not others.
-func (l *leader) watchArms() {
-	var before []string
+// watchFollowers keeps the engine's list of delegates up to date and hands over when an
+// instance is better placed to lead.
+func (l *leader) watchFollowers() {
+	var previous []string
 	for l.ctx.Err() == nil {
-		live := l.liveArms()
-		names := []string{l.n.set.Instance}
-		for _, a := range live {
-			if a.Instance != l.n.set.Instance {
-				names = append(names, a.Instance)
+		live := l.liveFollowers()
+		names := []string{l.n.settings.Instance}
+		for _, f := range live {
+			if f.Instance != l.n.settings.Instance {
+				names = append(names, f.Instance)
 			}
 		}
-		if !slices.Equal(names, before) {
-			before = names
+		if !slices.Equal(names, previous) {
+			previous = names
 			l.post(&engine.ArmsChanged{Arms: names})
-			l.n.others.Store(instancesOf(live, l.n.set.CPUShare))
+			l.n.cellInstances.Store(newInstanceList(live, l.n.settings.CPUShare))
 		}
 		l.considerHandover(live)
-		wait.For(l.ctx, watchArmsEvery)
+		wait.For(l.ctx, followersInterval)
 	}
 }
 
-// pollWorkers keeps the engine's list of workers.
+// pollWorkers keeps the engine's list of workers up to date.
 func (l *leader) pollWorkers() {
-	told := false // the engine has had the list of this term
+	sent := false // the engine has received a list in this term
 	for l.ctx.Err() == nil {
 		list, changed, err := l.pollOnce()
 		if err != nil {
-			l.refused(err)
-		} else if changed || !told {
-			told = true
+			l.noteStoreFailure(err)
+		} else if changed || !sent {
+			sent = true
 			l.post(&engine.WorkersListed{Workers: list})
 		}
-		wait.For(l.ctx, pollWorkersEvery)
+		wait.For(l.ctx, directoryPollInterval)
 	}
 }
 
+// pollOnce reads the list of workers from the directory.
 func (l *leader) pollOnce() ([]engine.Listed, bool, error) {
 	ctx, cancel := context.WithTimeout(l.ctx, storeTimeout)
 	defer cancel()
 	list, changed, err := l.n.ports.Directory.Poll(ctx)
 	if err == nil {
-		l.seen()
+		l.noteStoreAnswer()
 	}
 	return list, changed, err
 }
--- a/internal/cell/node/node.go
+++ b/internal/cell/node/node.go
@@ -19,16 +19,16 @@
 	"pollenbend/internal/wait"
 )
 
-// Settings are what one instance knows from its settings.
+// Settings configure one instance.
 type Settings struct {
-	Instance string
-	Address  string  // for peers
-	CPUShare float64 // of a core
-	Dial     peer.Dial
+	Instance string    // name of the instance
+	Address  string    // address at which peers connect to it
+	CPUShare float64   // CPU of the instance, in cores
+	Dial     peer.Dial // opens connections to peers
 	Engine   engine.Config
 }
 
-// Ports are the node's ways to the outside.
+// Ports are the interfaces through which the node uses other systems.
 type Ports struct {
 	Store     Store
 	Directory Directory
@@ -39,65 +39,67 @@
 
 // Node is one instance of a cell.
 type Node struct {
-	set     Settings
-	ports   Ports
-	log     *slog.Logger
-	stats   *Stats
-	session string
-	peers   *peer.Pool
-
-	policy  atomic.Pointer[policy.Policy]
-	leading atomic.Pointer[leader]
-	known   atomic.Pointer[Leadership]
-	others  atomic.Pointer[instances]
-	// heard is when the leader last answered, in nanoseconds since born.
-	heard atomic.Int64
-	// storeSeen is when the store last answered, in nanoseconds since born.
-	storeSeen atomic.Int64
-	born      time.Time
-	draining  atomic.Bool
-	claiming  atomic.Bool // a claim is under way; its record may be stored already
-	takeOver  chan struct{}
-	doubt     chan struct{} // the instance that is followed may not lead any more
+	settings    Settings
+	ports       Ports
+	log         *slog.Logger
+	stats       *Stats
+	incarnation string
+	peers       *peer.Pool
+
+	policy        atomic.Pointer[policy.Policy]
+	leading       atomic.Pointer[leader]
+	knownLeader   atomic.Pointer[Leadership]
+	cellInstances atomic.Pointer[instanceList]
+	// leaderAnsweredAt is when the leader last answered, in nanoseconds since
+	// startedAt.
+	leaderAnsweredAt atomic.Int64
+	// storeAnsweredAt is when the store last answered, in nanoseconds since startedAt.
+	storeAnsweredAt   atomic.Int64
+	startedAt         time.Time
+	draining          atomic.Bool
+	claiming          atomic.Bool   // a claim is in progress; its record may be stored already
+	takeOverRequested chan struct{} // signals that a peer asked this instance to take over
+	leaderDoubted     chan struct{} // signals that the followed instance may no longer lead
 
 	mu      sync.Mutex
 	changed chan struct{} // closed when the leader changes
 }
 
-// New returns a node that does nothing yet.
-func New(set Settings, ports Ports, stats *Stats, log *slog.Logger) *Node {
+// New returns a node. It does nothing until Run is called.
+func New(settings Settings, ports Ports, stats *Stats, log *slog.Logger) *Node {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
 		panic(err) // the runtime's source of randomness does not fail
 	}
 	n := &Node{
-		set: set, ports: ports, log: log, stats: stats, session: hex.EncodeToString(raw[:]),
-		peers: peer.NewPool(set.Dial), born: time.Now(), takeOver: make(chan struct{}, 1), doubt: make(chan struct{}, 1), changed: make(chan struct{}),
+		settings: settings, ports: ports, log: log, stats: stats, incarnation: hex.EncodeToString(raw[:]),
+		peers: peer.NewPool(settings.Dial), startedAt: time.Now(), takeOverRequested: make(chan struct{}, 1), leaderDoubted: make(chan struct{}, 1), changed: make(chan struct{}),
 	}
-	n.storeSeen.Store(-int64(time.Hour))
-	n.heard.Store(-int64(time.Hour))
+	n.storeAnsweredAt.Store(-int64(time.Hour))
+	n.leaderAnsweredAt.Store(-int64(time.Hour))
 	return n
 }
 
-// Run finds or becomes the leader, again and again, until ctx ends. l takes the
-// connections of peers.
+// Run follows the leader or leads until ctx ends. It accepts the connections of peers
+// from l.
 func (n *Node) Run(ctx context.Context, l net.Listener) {
 	go func() {
 		err := peer.Serve(l, serviceName, &Service{n})
 		if ctx.Err() == nil {
-			n.log.Error("peers cannot connect any more", "reason", err.Error())
+			n.log.Error("stopped accepting peer connections", "reason", err.Error())
 		}
 	}()
 	go n.ports.Policies.Watch(ctx, n.setPolicy)
 	for ctx.Err() == nil {
-		n.round(ctx)
+		n.followOrCampaign(ctx)
 	}
 }
 
-// Policy returns the newest declarations, or nil before the first arrived.
+// Policy returns the newest declarations, or nil until the first version has arrived.
 func (n *Node) Policy() *policy.Policy { return n.policy.Load() }
 
-// setPolicy takes over a version unless it has a newer one.
+// setPolicy puts a version of the declarations in force unless the version in force is
+// the same or newer.
 func (n *Node) setPolicy(p *policy.Policy) {
 	for {
 		old := n.policy.Load()
@@ -114,19 +116,19 @@
 	}
 }
 
-// readyWithin is how recently the leader must have answered for the instance to
-// take callers.
-const readyWithin = 1500 * time.Millisecond
+// readyWindow is how recently the leader must have answered for an instance that
+// follows it to be ready.
+const readyWindow = 1500 * time.Millisecond
 
 // Ready reports whether the instance can serve callers.
 func (n *Node) Ready() bool {
 	if n.draining.Load() || n.policy.Load() == nil {
 		return false
 	}
-	return n.leading.Load() != nil || n.since(&n.heard) < readyWithin
+	return n.leading.Load() != nil || n.since(&n.leaderAnsweredAt) < readyWindow
 }
 
-// Drain makes the instance unready and gives up the leadership.
+// Drain makes the instance unready. It resigns if the instance leads.
 func (n *Node) Drain(ctx context.Context) {
 	n.draining.Store(true)
 	if l := n.leading.Load(); l != nil {
@@ -134,259 +136,277 @@
 	}
 }
 
-func (n *Node) since(mark *atomic.Int64) time.Duration {
-	return time.Since(n.born) - time.Duration(mark.Load())
+// since returns the time since t, which is in nanoseconds since startedAt.
+func (n *Node) since(t *atomic.Int64) time.Duration {
+	return time.Since(n.startedAt) - time.Duration(t.Load())
 }
 
-func (n *Node) mark(mark *atomic.Int64) { mark.Store(int64(time.Since(n.born))) }
+// setNow sets t to the current time, in nanoseconds since startedAt.
+func (n *Node) setNow(t *atomic.Int64) { t.Store(int64(time.Since(n.startedAt))) }
 
-// setLeader notes who leads and wakes those who wait for a change.
+// setLeader records who leads and, if that is a change, notifies the requests that wait
+// for one.
 func (n *Node) setLeader(rec *Leadership) {
-	old := n.known.Swap(rec)
-	if old != nil && rec != nil && old.Session == rec.Session && old.Term == rec.Term {
+	previous := n.knownLeader.Swap(rec)
+	if previous != nil && rec != nil && previous.Session == rec.Session && previous.Term == rec.Term {
 		return
 	}
-	n.wake()
+	n.notifyLeaderChanged()
 	if rec != nil {
-		n.log.Info("leader known", "leader", rec.Instance, "term", rec.Term, "self", rec.Session == n.session)
+		n.log.Info("leader changed", "leader", rec.Instance, "term", rec.Term, "self", rec.Session == n.incarnation)
 	}
 }
 
-func (n *Node) wake() {
+// notifyLeaderChanged closes the channel that leaderChanged has returned.
+func (n *Node) notifyLeaderChanged() {
 	n.mu.Lock()
 	close(n.changed)
 	n.changed = make(chan struct{})
 	n.mu.Unlock()
 }
 
+// leaderChanged returns a channel that is closed at the next change of the leader.
 func (n *Node) leaderChanged() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.changed
 }
 
-// storeTimeout bounds reads of the leadership record. The store may be many times
-// slower than usual.
+// storeTimeout bounds one call to the store, other than appends and loads, or to the
+// directory. The store may be many times slower than usual.
 const storeTimeout = 1500 * time.Millisecond
 
-// storePause is the pause after a failed call to the store.
-const storePause = 100 * time.Millisecond
+// storeRetryDelay is the delay after a failed call to the store.
+const storeRetryDelay = 100 * time.Millisecond
 
-// storeAway is how long the store must have been silent before other instances are
-// asked first who leads: longer than the pause between two answers of a store in
-// reach.
-const storeAway = 2 * time.Second
+// storeUnreachableTimeout is how long the store must not have answered an instance to
+// count as unreachable from there. It is longer than the time between two answers of a
+// reachable store. An instance that cannot reach the store asks other instances first
+// who leads. It does not get the leadership because of its CPU share or when the leader
+// resigns.
+const storeUnreachableTimeout = 2 * time.Second
 
-// round reads who leads and follows that leader, or tries to lead.
-func (n *Node) round(ctx context.Context) {
-	if n.since(&n.storeSeen) > storeAway && n.followPeers(ctx) {
+// followOrCampaign finds out who leads and follows that leader, or campaigns if nobody
+// leads.
+func (n *Node) followOrCampaign(ctx context.Context) {
+	if n.since(&n.storeAnsweredAt) > storeUnreachableTimeout && n.followPeers(ctx) {
 		return
 	}
-	rec, at, next, found, err := n.readLeadership(ctx)
+	rec, offset, next, found, err := n.readLeadership(ctx)
 	if err != nil {
-		n.log.Warn("cannot read who leads", "reason", err.Error())
+		n.log.Warn("cannot read the leadership record", "reason", err.Error())
 		n.followPeers(ctx)
-		wait.For(ctx, storePause)
+		wait.For(ctx, storeRetryDelay)
 		return
 	}
 	switch {
 	case !found || rec.Resigned:
 		n.campaign(ctx, next, "no leader")
-	case rec.Session == n.session:
-		n.campaign(ctx, next, "left over from an earlier term")
+	case rec.Session == n.incarnation:
+		n.campaign(ctx, next, "the newest leadership record is of an earlier term of this instance")
 	default:
 		n.setLeader(&rec)
-		n.follow(ctx, &rec, at)
+		n.follow(ctx, &rec, offset)
 	}
 }
 
-func (n *Node) readLeadership(ctx context.Context) (rec Leadership, at, next int64, found bool, err error) {
+// readLeadership reads the newest leadership record from the store, its offset and the
+// offset of the next one. found is false if there is none.
+func (n *Node) readLeadership(ctx context.Context) (rec Leadership, offset, next int64, found bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	rec, at, next, found, err = n.ports.Store.ReadLeadership(ctx)
+	rec, offset, next, found, err = n.ports.Store.ReadLeadership(ctx)
 	if err == nil {
-		n.mark(&n.storeSeen)
+		n.setNow(&n.storeAnsweredAt)
 		if found && rec.Term == 0 {
-			rec.Term = at + 1
+			rec.Term = offset + 1
 		}
 	}
-	return rec, at, next, found, err
+	return rec, offset, next, found, err
 }
 
 const (
-	// pingEvery is the pause between pings of the leader.
-	pingEvery = 200 * time.Millisecond
+	// pingInterval is the delay between two pings of the leader.
+	pingInterval = 200 * time.Millisecond
 	// pingTimeout bounds a ping.
 	pingTimeout = 300 * time.Millisecond
-	// refusedPings is how often in a row the leader's address must refuse
-	// connections before its process counts as ended.
-	refusedPings = 2
-	// refusedPause is the pause between such pings.
-	refusedPause = 40 * time.Millisecond
-	// silentBeforeLook is how long the leader may be silent before the store is
-	// asked whether it still renews its record.
-	silentBeforeLook = 300 * time.Millisecond
-	// staleLeader is how long the leader's record may stay the same while the
-	// leader does not answer: two renewals, and some time for a slow store.
-	staleLeader = 900 * time.Millisecond
+	// minRefusedPings is how many pings in a row must find the leader's address
+	// refusing connections before its process counts as ended.
+	minRefusedPings = 2
+	// refusedPingDelay is the delay between two pings that have failed.
+	refusedPingDelay = 40 * time.Millisecond
+	// recordCheckDelay is how long the leader may leave pings unanswered before the
+	// store is read to see whether it still renews its leadership record.
+	recordCheckDelay = 300 * time.Millisecond
+	// staleRecordTimeout is how long the leadership record may stay unchanged while
+	// the leader does not answer: two renewals, and some time for a slow store.
+	staleRecordTimeout = 900 * time.Millisecond
 )
 
-// follow pings the leader until it has changed or is gone.
-func (n *Node) follow(ctx context.Context, rec *Leadership, at int64) {
+// follow pings the leader, whose record was read at offset, until another instance leads
+// or this one should try to.
+func (n *Node) follow(ctx context.Context, rec *Leadership, offset int64) {
 	refused := 0
-	lastOK := time.Now()
-	seenAt, seenSince := at, time.Time{}
+	lastAnswer := time.Now()
+	lastOffset, unchangedSince := offset, time.Time{}
 	for ctx.Err() == nil {
-		verdict := n.ping(ctx, rec)
-		switch verdict {
+		result := n.ping(ctx, rec)
+		switch result {
 		case pingLeads:
-			refused, lastOK, seenSince = 0, time.Now(), time.Time{}
-			if n.rest(ctx) {
-				n.campaignNow(ctx, "asked to take over")
+			refused, lastAnswer, unchangedSince = 0, time.Now(), time.Time{}
+			if n.waitForNextPing(ctx) {
+				n.claimWithoutDelay(ctx, "asked to take over")
 				return
 			}
 			continue
-		case pingOther:
-			n.challenge(ctx, rec, "the leader's process was replaced or stepped down")
+		case pingNotLeading:
+			n.campaignUnlessReplaced(ctx, rec, "the leader's process was replaced or stepped down")
 			return
 		case pingRefused:
 			refused++
-			if refused >= refusedPings {
-				n.challenge(ctx, rec, "the leader's process has ended")
+			if refused >= minRefusedPings {
+				n.campaignUnlessReplaced(ctx, rec, "the leader's process has ended")
 				return
 			}
-			wait.For(ctx, refusedPause)
+			wait.For(ctx, refusedPingDelay)
 			continue
 		}
-		if time.Since(lastOK) < silentBeforeLook {
-			wait.For(ctx, refusedPause)
+		if time.Since(lastAnswer) < recordCheckDelay {
+			wait.For(ctx, refusedPingDelay)
 			continue
 		}
-		now, place, next, found, err := n.readLeadership(ctx)
+		current, currentOffset, next, found, err := n.readLeadership(ctx)
 		switch {
 		case err != nil:
 			return // other instances may know of another leader
-		case !found || now.Session != rec.Session || now.Resigned:
+		case !found || current.Session != rec.Session || current.Resigned:
 			return
-		case seenSince.IsZero() || place != seenAt:
-			if seenSince.IsZero() && place == seenAt {
-				n.log.Warn("leader is silent", "leader", rec.Instance, "term", rec.Term, "last_answer_ms", time.Since(lastOK).Milliseconds())
+		case unchangedSince.IsZero() || currentOffset != lastOffset:
+			if unchangedSince.IsZero() && currentOffset == lastOffset {
+				n.log.Warn("leader is not responding", "leader", rec.Instance, "term", rec.Term, "last_answer_ms", time.Since(lastAnswer).Milliseconds())
 			}
-			seenAt, seenSince = place, time.Now()
-			wait.For(ctx, retryPause)
-		case time.Since(seenSince) > staleLeader:
-			n.campaign(ctx, next, "the leader is silent and does not renew")
+			lastOffset, unchangedSince = currentOffset, time.Now()
+			wait.For(ctx, retryDelay)
+		case time.Since(unchangedSince) > staleRecordTimeout:
+			n.campaign(ctx, next, "the leader is not responding and does not renew its leadership record")
 			return
 		default:
-			wait.For(ctx, retryPause)
+			wait.For(ctx, retryDelay)
 		}
 	}
 }
 
-// rest waits until the next ping is due: at once if a request has found that the
-// instance that is followed does not lead. It reports whether this instance is asked
-// to take over.
-func (n *Node) rest(ctx context.Context) bool {
-	t := time.NewTimer(pingEvery)
+// waitForNextPing waits until the next ping is due, which is soon if a request has found
+// that the followed instance does not lead. It reports whether this instance has been
+// asked to take over.
+func (n *Node) waitForNextPing(ctx context.Context) bool {
+	t := time.NewTimer(pingInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-n.doubt:
-		wait.For(ctx, retryPause) // many requests may find it at a time
-	case <-n.takeOver:
+	case <-n.leaderDoubted:
+		wait.For(ctx, retryDelay) // many requests may find it at the same time
+	case <-n.takeOverRequested:
 		return true
 	}
 	return false
 }
 
-// challenge campaigns if rec is still the newest record.
-func (n *Node) challenge(ctx context.Context, rec *Leadership, why string) {
-	now, _, next, found, err := n.readLeadership(ctx)
+// campaignUnlessReplaced campaigns unless another process than that of rec has claimed
+// the leadership since.
+func (n *Node) campaignUnlessReplaced(ctx context.Context, rec *Leadership, reason string) {
+	current, _, next, found, err := n.readLeadership(ctx)
 	if err != nil {
-		n.log.Warn("cannot read who leads", "reason", err.Error())
-		wait.For(ctx, storePause)
+		n.log.Warn("cannot read the leadership record", "reason", err.Error())
+		wait.For(ctx, storeRetryDelay)
 		return
 	}
-	if found && now.Session != rec.Session {
+	if found && current.Session != rec.Session {
 		return
 	}
-	n.campaign(ctx, next, why)
+	n.campaign(ctx, next, reason)
 }
 
-func (n *Node) campaignNow(ctx context.Context, why string) {
+// claimWithoutDelay claims the leadership without the delay of a campaign.
+func (n *Node) claimWithoutDelay(ctx context.Context, reason string) {
 	_, _, next, _, err := n.readLeadership(ctx)
 	if err != nil {
-		n.log.Warn("cannot read who leads", "reason", err.Error())
+		n.log.Warn("cannot read the leadership record", "reason", err.Error())
 		return
 	}
-	n.claim(ctx, next, why)
+	n.claim(ctx, next, reason)
 }
 
 const (
-	// campaignDelay is how long an instance with a whole core waits before it claims.
-	// A weaker one waits in proportion longer, so that strong instances lead.
+	// campaignDelay is how long an instance with a whole core waits before it claims
+	// the leadership. The delay is inversely proportional to the CPU share, so that
+	// instances with much CPU lead.
 	campaignDelay = 25 * time.Millisecond
-	// weakDelay is added for an instance that is much weaker than others of the cell.
-	// These notice within two pings that the leader is gone.
-	weakDelay = time.Second
-	// drainingLook is the pause between looks who leads, of an instance that will not
-	// lead itself but still passes requests on.
-	drainingLook = 50 * time.Millisecond
-	// weakLook is the pause between looks whether one of them leads by then.
-	weakLook = 100 * time.Millisecond
+	// lowCPUCampaignDelay is added for an instance with much less CPU than others of the
+	// cell. These notice within two pings that the leader has ended.
+	lowCPUCampaignDelay = time.Second
+	// drainingPollInterval is the delay between two reads of the leadership record by an
+	// instance that drains: it does not lead any more but still forwards requests.
+	drainingPollInterval = 50 * time.Millisecond
+	// lowCPUPollInterval is the delay between two reads of the leadership record during
+	// lowCPUCampaignDelay.
+	lowCPUPollInterval = 100 * time.Millisecond
 )
 
-func (n *Node) campaign(ctx context.Context, next int64, why string) {
+// campaign claims the leadership at offset next after a delay that leaves it to instances
+// with more CPU. An instance that drains does not claim it.
+func (n *Node) campaign(ctx context.Context, next int64, reason string) {
 	if n.draining.Load() {
-		wait.For(ctx, drainingLook)
+		wait.For(ctx, drainingPollInterval)
 		return
 	}
-	share := max(0.1, min(1, n.set.CPUShare))
+	share := max(0.1, min(1, n.settings.CPUShare))
 	wait.For(ctx, time.Duration(float64(campaignDelay)/share)+jitter(campaignDelay))
-	if o := n.others.Load(); o != nil && weak(n.set.CPUShare, o.Strongest) && n.claimedByOther(ctx, next) {
+	if known := n.cellInstances.Load(); known != nil && lowCPU(n.settings.CPUShare, known.Strongest) && n.waitForOtherClaim(ctx, next) {
 		return
 	}
-	n.claim(ctx, next, why)
+	n.claim(ctx, next, reason)
 }
 
-// claimedByOther leaves the leadership to stronger instances for weakDelay. It reports
-// whether one of them took it.
-func (n *Node) claimedByOther(ctx context.Context, next int64) bool {
-	for begun := time.Now(); ctx.Err() == nil && time.Since(begun) < weakDelay; wait.For(ctx, weakLook) {
-		if _, _, now, _, err := n.readLeadership(ctx); err == nil && now != next {
+// waitForOtherClaim leaves the leadership to instances with more CPU for
+// lowCPUCampaignDelay. It reports whether another instance has claimed it.
+func (n *Node) waitForOtherClaim(ctx context.Context, next int64) bool {
+	for start := time.Now(); ctx.Err() == nil && time.Since(start) < lowCPUCampaignDelay; wait.For(ctx, lowCPUPollInterval) {
+		if _, _, currentNext, _, err := n.readLeadership(ctx); err == nil && currentNext != next {
 			return true
 		}
 	}
 	return false
 }
 
-// claim tries to become the leader and leads until deposed.
-func (n *Node) claim(ctx context.Context, next int64, why string) {
-	rec := Leadership{Instance: n.set.Instance, Session: n.session, Address: n.set.Address}
+// claim tries to write the leadership record at offset next. If that succeeds the
+// instance leads until its term ends.
+func (n *Node) claim(ctx context.Context, next int64, reason string) {
+	rec := Leadership{Instance: n.settings.Instance, Session: n.incarnation, Address: n.settings.Address}
 	n.claiming.Store(true)
 	defer n.claiming.Store(false)
-	writing, cancel := context.WithTimeout(ctx, storeTimeout)
-	err := n.ports.Store.WriteLeadership(writing, rec, next)
+	writeCtx, cancel := context.WithTimeout(ctx, storeTimeout)
+	err := n.ports.Store.WriteLeadership(writeCtx, rec, next)
 	cancel()
 	if errors.Is(err, ErrConflict) {
 		return
 	}
 	if err != nil {
-		n.log.Warn("claim without an answer", "reason", err.Error())
-		now, at, _, found, err := n.readLeadership(ctx)
-		if err != nil || !found || at != next || now.Session != n.session {
-			wait.For(ctx, storePause)
+		n.log.Warn("write of the leadership record failed; checking whether it was stored", "reason", err.Error())
+		current, offset, _, found, err := n.readLeadership(ctx)
+		if err != nil || !found || offset != next || current.Session != n.incarnation {
+			wait.For(ctx, storeRetryDelay)
 			return
 		}
 	}
-	n.mark(&n.storeSeen)
+	n.setNow(&n.storeAnsweredAt)
 	rec.Term = next + 1
-	n.log.Info("claimed the leadership", "term", rec.Term, "reason", why)
+	n.log.Info("claimed the leadership", "term", rec.Term, "reason", reason)
 	n.setLeader(&rec)
 	n.claiming.Store(false)
 	n.lead(ctx, &rec, next+1)
 }
 
-// StoreSeen notes that the store has answered this instance.
-func (n *Node) StoreSeen() { n.mark(&n.storeSeen) }
+// StoreSeen records that the store has answered this instance.
+func (n *Node) StoreSeen() { n.setNow(&n.storeAnsweredAt) }
--- /dev/null
+++ b/internal/cell/node/requests.go
@@ -0,0 +1,124 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"pollenbend/internal/cell/engine"
+	"pollenbend/internal/cell/job"
+	"pollenbend/internal/cell/peer"
+	"pollenbend/internal/verdict"
+
+	"pollenbend/internal/wait"
+)
+
+const (
+	// noLeaderTimeout is how long a request waits for a leader. If a takeover takes
+	// longer, the caller should retry rather than the request wait here.
+	noLeaderTimeout = 300 * time.Millisecond
+	// noLeaderRetryDelay is after how long a caller should then retry: about the time
+	// that a takeover takes.
+	noLeaderRetryDelay = time.Second
+	// maxLeaderAnswerAge is how long after its last answer to a ping the leader is still
+	// sent requests.
+	maxLeaderAnswerAge = pingInterval + pingTimeout
+	// retryDelay is the delay between two attempts to reach the leader.
+	retryDelay = 25 * time.Millisecond
+)
+
+// Submit submits a job to the leader. Errors carry a verdict.
+func (n *Node) Submit(ctx context.Context, spec *job.Spec) (engine.Answer, error) {
+	return n.request(ctx, "Submit", &SubmitArgs{Spec: spec}, func(answer func(engine.Answer)) any {
+		return &engine.Submit{Spec: spec, Reply: answer}
+	})
+}
+
+// Cancel cancels a job of team. Errors carry a verdict.
+func (n *Node) Cancel(ctx context.Context, id, team string) (engine.Answer, error) {
+	return n.request(ctx, "Cancel", &JobArgs{ID: id, Team: team}, func(answer func(engine.Answer)) any {
+		return &engine.Cancel{ID: id, Team: team, Reply: answer}
+	})
+}
+
+// Status returns the status of a job of team. Errors carry a verdict.
+func (n *Node) Status(ctx context.Context, id, team string) (engine.Answer, error) {
+	return n.request(ctx, "Status", &JobArgs{ID: id, Team: team}, func(answer func(engine.Answer)) any {
+		return &engine.Status{ID: id, Team: team, Reply: answer}
+	})
+}
+
+// Pending returns how many jobs of a queue have not started. Errors carry a verdict.
+func (n *Node) Pending(ctx context.Context, queue string) (engine.Answer, error) {
+	return n.request(ctx, "Pending", &QueueArgs{Queue: queue}, func(answer func(engine.Answer)) any {
+		return &engine.Pending{Queue: queue, Reply: answer}
+	})
+}
+
+// request gets the leader's answer to a request. All requests are idempotent by the
+// job's id, so one whose answer was lost is sent again, also to the next leader.
+func (n *Node) request(ctx context.Context, method string, args any, event func(func(engine.Answer)) any) (engine.Answer, error) {
+	start := time.Now()
+	inDoubt := false
+	for {
+		leaderChange := n.leaderChanged()
+		answer, sent, ok := n.attempt(ctx, leaderChange, method, args, event)
+		if ok {
+			return answer, nil
+		}
+		inDoubt = inDoubt || sent
+		if ctx.Err() != nil {
+			return engine.Answer{}, noAnswerError(inDoubt, verdict.CodeDeadline, "no answer from the leader in time")
+		}
+		if !inDoubt && time.Since(start) > noLeaderTimeout {
+			return engine.Answer{}, noAnswerError(false, verdict.CodeUnavailable, "no leader in reach")
+		}
+		wait.Until(ctx, leaderChange, retryDelay)
+	}
+}
+
+// noAnswerError returns the error for a request that got no answer. inDoubt tells whether
+// it may have had an effect; code is the one to use if it cannot have had any.
+func noAnswerError(inDoubt bool, code verdict.Code, message string) error {
+	if inDoubt {
+		return &verdict.Error{Verdict: verdict.MayHaveRun, Code: verdict.CodeInDoubt, Message: message}
+	}
+	return verdict.Refuse(code, "%s", message).After(noLeaderRetryDelay)
+}
+
+// attempt sends the request to the leader once, unless no leader is known or it has not
+// answered pings lately. sent reports whether the request may have had an effect, ok
+// whether it was answered. A change of the leader aborts the call to it.
+func (n *Node) attempt(ctx context.Context, leaderChange <-chan struct{}, method string, args any, event func(func(engine.Answer)) any) (answer engine.Answer, sent, ok bool) {
+	if l := n.leading.Load(); l != nil {
+		answer, ok = l.ask(ctx, event)
+		return answer, true, ok
+	}
+	rec := n.knownLeader.Load()
+	if rec == nil || rec.Session == n.incarnation || n.since(&n.leaderAnsweredAt) > maxLeaderAnswerAge {
+		return engine.Answer{}, false, false
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	go func() {
+		select {
+		case <-leaderChange:
+			cancel()
+		case <-ctx.Done():
+		}
+	}()
+	var reply Reply
+	err := n.peers.Get(rec.Address).Call(ctx, serviceName+"."+method, args, &reply)
+	switch {
+	case err == nil && reply.NotLeading:
+		select {
+		case n.leaderDoubted <- struct{}{}:
+		default: // signaled already
+		}
+		return engine.Answer{}, false, false
+	case err == nil:
+		return reply.Answer, true, true
+	}
+	return engine.Answer{}, !errors.Is(err, peer.ErrNotSent), false
+}
--- a/internal/cell/node/service.go
+++ b/internal/cell/node/service.go
@@ -13,94 +13,96 @@
 	"pollenbend/internal/cell/policy"
 )
 
-// serviceName is the name under which instances call each other.
+// serviceName is the name of the net/rpc service on which instances call each other.
 const serviceName = "Cell"
 
 // Service answers the calls of other instances.
 type Service struct{ n *Node }
 
-// Reply is the answer of a leader to a caller's request that an entry passed on.
+// Reply is the answer to a caller's request that another instance has forwarded.
 type Reply struct {
-	NotLeading bool
+	NotLeading bool // the instance does not lead; there is no answer
 	Answer     engine.Answer
 }
 
-// SubmitArgs passes on a submission.
+// SubmitArgs are the arguments of Submit.
 type SubmitArgs struct{ Spec *job.Spec }
 
-// JobArgs names a job of a team.
+// JobArgs are the arguments of Cancel and Status: a job and the team that it belongs to.
 type JobArgs struct{ ID, Team string }
 
-// QueueArgs names a queue.
+// QueueArgs are the arguments of Pending.
 type QueueArgs struct{ Queue string }
 
-// PingArgs tells the leader about the instance that pings.
+// PingArgs describe the instance that pings the leader.
 type PingArgs struct {
 	Instance string
-	Address  string
-	Policy   int64         // version in force there
-	StoreAge time.Duration // since the store last answered there
-	CPUShare float64
+	Address  string        // address at which peers connect to it
+	Policy   int64         // version of the declarations in force there
+	StoreAge time.Duration // time since the store last answered that instance
+	CPUShare float64       // CPU of the instance, in cores
 	Draining bool
-	Others   uint64 // version of the list of instances that is known there
+	Others   uint64 // version of the list of instances that it has
 }
 
-// PingReply tells about the instance that was pinged.
+// PingReply describes the instance that was pinged.
 type PingReply struct {
-	Session string
-	Leading bool
-	Policy  int64
-	Others  *instances // unless the instance that pings knows this version
-	// StoreAway tells that the leader cannot reach the store, and would hand over to
+	Session string        // incarnation of the instance
+	Leading bool          // it leads, or has claimed the leadership and prepares to lead
+	Policy  int64         // version of the declarations in force there
+	Others  *instanceList // nil if the pinging instance has this version or the pinged one does not lead
+	// StoreAway reports that the leader cannot reach the store and would hand over to
 	// an instance that can.
 	StoreAway bool
 }
 
-// AdviseArgs asks an instance to call the adviser.
+// AdviseArgs are the arguments of Advise.
 type AdviseArgs struct {
 	Step    string
 	Workers []string
-	Timeout time.Duration
+	Timeout time.Duration // of the call to the adviser
 }
 
 // AdviseReply is the adviser's answer.
 type AdviseReply struct {
-	Good map[string]string
-	TTL  time.Duration
+	Good map[string]string // ticket of each good worker
+	TTL  time.Duration     // how long the tickets last
 }
 
-// Submit implements the peer call of that name.
+// Submit submits a job to the engine of this instance, if it leads.
 func (s *Service) Submit(args *SubmitArgs, reply *Reply) error {
-	return s.local(reply, func(answer func(engine.Answer)) any {
+	return s.answerLocally(reply, func(answer func(engine.Answer)) any {
 		return &engine.Submit{Spec: args.Spec, Reply: answer}
 	})
 }
 
-// Cancel implements the peer call of that name.
+// Cancel cancels a job, if this instance leads.
 func (s *Service) Cancel(args *JobArgs, reply *Reply) error {
-	return s.local(reply, func(answer func(engine.Answer)) any {
+	return s.answerLocally(reply, func(answer func(engine.Answer)) any {
 		return &engine.Cancel{ID: args.ID, Team: args.Team, Reply: answer}
 	})
 }
 
-// Status implements the peer call of that name.
+// Status returns the status of a job, if this instance leads.
 func (s *Service) Status(args *JobArgs, reply *Reply) error {
-	return s.local(reply, func(answer func(engine.Answer)) any {
+	return s.answerLocally(reply, func(answer func(engine.Answer)) any {
 		return &engine.Status{ID: args.ID, Team: args.Team, Reply: answer}
 	})
 }
 
-// Pending implements the peer call of that name.
+// Pending returns how many jobs of a queue have not started, if this instance leads.
 func (s *Service) Pending(args *QueueArgs, reply *Reply) error {
-	return s.local(reply, func(answer func(engine.Answer)) any {
+	return s.answerLocally(reply, func(answer func(engine.Answer)) any {
 		return &engine.Pending{Queue: args.Queue, Reply: answer}
 	})
 }
 
+// errDeposed is returned for a request that the leader has taken but not answered when
+// its term ends.
 var errDeposed = errors.New("the leader stepped down before it answered")
 
-// local has the engine of this instance answer, if it leads.
-func (s *Service) local(reply *Reply, event func(func(engine.Answer)) any) error {
+// answerLocally has the engine of this instance answer, if it leads.
+func (s *Service) answerLocally(reply *Reply, event func(func(engine.Answer)) any) error {
 	l := s.n.leading.Load()
 	if l == nil {
 		reply.NotLeading = true
@@ -114,21 +116,22 @@
 	return nil
 }
 
-// Ping implements the peer call of that name.
+// Ping reports the state of this instance and, if it leads, records the caller as a
+// follower.
 func (s *Service) Ping(args *PingArgs, reply *PingReply) error {
 	n := s.n
-	reply.Session = n.session
+	reply.Session = n.incarnation
 	if p := n.policy.Load(); p != nil {
 		reply.Policy = p.Version
 	}
 	l := n.leading.Load()
 	reply.Leading = l != nil || n.preparing() || n.claiming.Load()
 	if l != nil {
-		l.pinged(args)
-		if known := n.others.Load(); known != nil && known.Version != args.Others {
+		l.recordPing(args)
+		if known := n.cellInstances.Load(); known != nil && known.Version != args.Others {
 			reply.Others = known
 		}
-		reply.StoreAway = l.failing.Load() != 0 || n.since(&n.storeSeen) > silentBeforeProbe
+		reply.StoreAway = l.storeFailingSince.Load() != 0 || n.since(&n.storeAnsweredAt) > storeNoAnswerProbeDelay
 	}
 	if args.Policy > reply.Policy {
 		go n.fetchPolicy(args.Address)
@@ -136,7 +139,8 @@
 	return nil
 }
 
-// Policy implements the peer call of that name.
+// Policy returns the declarations in force on this instance. Their version is 0 if there
+// are none.
 func (s *Service) Policy(_ *struct{}, reply *policy.Policy) error {
 	if p := s.n.policy.Load(); p != nil {
 		*reply = policy.Policy{Version: p.Version, Queues: p.Queues, Services: p.Services, Teams: p.Teams, HTTP: p.HTTP}
@@ -144,7 +148,7 @@
 	return nil
 }
 
-// Advise implements the peer call of that name.
+// Advise calls the adviser for the leader.
 func (s *Service) Advise(args *AdviseArgs, reply *AdviseReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Timeout)
 	defer cancel()
@@ -153,17 +157,17 @@
 	return err
 }
 
-// TakeOver implements the peer call of that name.
+// TakeOver asks this instance to claim the leadership.
 func (s *Service) TakeOver(_ *struct{}, _ *struct{}) error {
 	select {
-	case s.n.takeOver <- struct{}{}:
+	case s.n.takeOverRequested <- struct{}{}:
 	default: // asked already
 	}
 	return nil
 }
 
-// fetchPolicy takes over the declarations of the instance at address, which are
-// newer.
+// fetchPolicy fetches the declarations of the instance at address, which are newer, and
+// puts them in force.
 func (n *Node) fetchPolicy(address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout)
 	defer cancel()
@@ -175,28 +179,29 @@
 	n.setPolicy(p.Index())
 }
 
-// pingVerdict is what a ping told.
-type pingVerdict uint8
+// pingResult is the result of a ping.
+type pingResult uint8
 
 const (
-	pingSilent  pingVerdict = iota
-	pingLeads               // the leader answers
-	pingOther               // another process, or one that does not lead, answers
-	pingRefused             // no process listens there
+	pingNoAnswer   pingResult = iota
+	pingLeads                 // the leader answers
+	pingNotLeading            // another process, or one that does not lead, answers
+	pingRefused               // no process listens there
 )
 
-// ping asks the leader whether it leads.
-func (n *Node) ping(ctx context.Context, rec *Leadership) pingVerdict {
+// ping asks the leader whether it still leads, and exchanges versions of the declarations
+// and of the list of instances with it.
+func (n *Node) ping(ctx context.Context, rec *Leadership) pingResult {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	args := PingArgs{
-		Instance: n.set.Instance, Address: n.set.Address, CPUShare: n.set.CPUShare,
-		StoreAge: n.since(&n.storeSeen), Draining: n.draining.Load(),
+		Instance: n.settings.Instance, Address: n.settings.Address, CPUShare: n.settings.CPUShare,
+		StoreAge: n.since(&n.storeAnsweredAt), Draining: n.draining.Load(),
 	}
 	if p := n.policy.Load(); p != nil {
 		args.Policy = p.Version
 	}
-	if o := n.others.Load(); o != nil {
+	if o := n.cellInstances.Load(); o != nil {
 		args.Others = o.Version
 	}
 	var reply PingReply
@@ -205,18 +210,18 @@
 	case errors.Is(err, peer.ErrRefused):
 		return pingRefused
 	case err != nil:
-		return pingSilent
+		return pingNoAnswer
 	case reply.Session != rec.Session || !reply.Leading:
-		return pingOther
+		return pingNotLeading
 	}
-	n.mark(&n.heard)
+	n.setNow(&n.leaderAnsweredAt)
 	if reply.Others != nil {
-		n.others.Store(reply.Others)
+		n.cellInstances.Store(reply.Others)
 	}
 	if reply.StoreAway {
-		// Tells with the next ping whether the store answers here.
+		// The next ping reports the result of this probe in its StoreAge.
 		if _, _, _, _, err := n.readLeadership(ctx); err != nil {
-			n.log.Info("the store does not answer here either", "leader", rec.Instance, "reason", err.Error())
+			n.log.Info("store does not answer this instance either", "leader", rec.Instance, "reason", err.Error())
 		}
 	}
 	if reply.Policy > args.Policy {
@@ -225,4 +230,5 @@
 	return pingLeads
 }
 
+// jitter returns a random duration between 0 and d.
 func jitter(d time.Duration) time.Duration { return time.Duration(rand.Int64N(int64(d) + 1)) }
--- a/internal/cell/node/stats.go
+++ b/internal/cell/node/stats.go
@@ -9,14 +9,14 @@
 // Stats are the counters and histograms of one instance.
 type Stats struct {
 	Registry gometrics.Registry
-	Events   gometrics.Counter // taken in by the engine
-	Looks    gometrics.Counter // at workers
+	Events   gometrics.Counter // events handled by the engine
+	Looks    gometrics.Counter // renewals sent to workers
 	Advice   gometrics.Counter // calls to the adviser
 	Append   gometrics.Timer   // time until a batch is stored
-	Start    gometrics.Timer   // time until a worker answers a start
+	Start    gometrics.Timer   // time until a worker answers a start command
 }
 
-// NewStats returns stats in a registry of their own.
+// NewStats returns stats in a new registry.
 func NewStats() *Stats {
 	r := gometrics.NewRegistry()
 	return &Stats{
--- a/internal/cell/node/term.go
+++ b/internal/cell/node/term.go
@@ -13,8 +13,8 @@
 	"pollenbend/internal/wait"
 )
 
-// prepare fences off earlier leaders and loads the state. It returns nil if the
-// term ended before that was done.
+// prepare fences earlier leaders, loads the state and returns an engine that runs on it.
+// It returns nil if the term ended first.
 func (l *leader) prepare() *engine.Engine {
 	start := time.Now()
 	if !l.fence() {
@@ -24,9 +24,9 @@
 	if !ok {
 		return nil
 	}
-	set := l.n.set.Engine
-	set.Term = l.rec.Term
-	e := engine.New(set, l.n.log, wallClock, time.Now())
+	config := l.n.settings.Engine
+	config.Term = l.rec.Term
+	e := engine.New(config, l.n.log, wallClock, time.Now())
 	if list, _, err := l.pollOnce(); err == nil {
 		e.Handle(time.Now(), &engine.WorkersListed{Workers: list})
 	}
@@ -37,6 +37,8 @@
 
 func wallClock() int64 { return time.Now().UnixMilli() }
 
+// fence makes the store refuse appends of earlier leaders. It retries until that has
+// succeeded, and reports false if the term ended or a later one has begun.
 func (l *leader) fence() bool {
 	for l.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(l.ctx, storeTimeout)
@@ -49,62 +51,67 @@
 		if errors.Is(err, ErrFenced) {
 			return false
 		}
-		wait.For(l.ctx, storePause)
+		wait.For(l.ctx, storeRetryDelay)
 	}
 	return false
 }
 
+// load reads the state from the store. It retries until that has succeeded, and reports
+// false if the term ended first.
 func (l *leader) load() (engine.Restored, bool) {
 	for l.ctx.Err() == nil {
 		state := engine.Restored{Jobs: make(map[string]*record.Job), Steps: make(map[job.StepRef]*record.Step)}
 		ctx, cancel := context.WithTimeout(l.ctx, loadTimeout)
-		err := l.n.ports.Store.Load(ctx, func(r record.Record) { l.restore(&state, r) })
+		err := l.n.ports.Store.Load(ctx, func(r record.Record) { l.restoreRecord(&state, r) })
 		cancel()
 		if err == nil {
 			return state, true
 		}
 		l.n.log.Warn("cannot load the state", "term", l.rec.Term, "reason", err.Error())
-		wait.For(l.ctx, storePause)
+		wait.For(l.ctx, storeRetryDelay)
 	}
 	return engine.Restored{}, false
 }
 
-func (l *leader) restore(state *engine.Restored, r record.Record) {
+// restoreRecord adds a record to state. It logs records that it cannot decode and leaves
+// them out.
+func (l *leader) restoreRecord(state *engine.Restored, r record.Record) {
 	id, step, err := record.ParseKey(r.Key)
 	if err != nil {
-		l.n.log.Error("record of an unknown kind", "key", r.Key, "reason", err.Error())
+		l.n.log.Error("cannot parse the key of a record", "key", r.Key, "reason", err.Error())
 		return
 	}
 	if step != nil {
-		err = keep(state.Steps, *step, r.Value)
+		err = setDecoded(state.Steps, *step, r.Value)
 	} else {
-		err = keep(state.Jobs, id, r.Value)
+		err = setDecoded(state.Jobs, id, r.Value)
 	}
 	if err != nil {
-		l.n.log.Error("record cannot be read", "key", r.Key, "reason", err.Error())
+		l.n.log.Error("cannot decode the value of a record", "key", r.Key, "reason", err.Error())
 	}
 }
 
-// keep takes the newest value of a key into m. An empty value drops the key.
-func keep[K comparable, V any](m map[K]*V, key K, value []byte) error {
+// setDecoded sets key in m to the decoded value. An empty value deletes the key.
+func setDecoded[K comparable, V any](m map[K]*V, key K, value []byte) error {
 	if len(value) == 0 {
 		delete(m, key)
 		return nil
 	}
-	kept := new(V)
-	if err := record.Decode(value, kept); err != nil {
+	decoded := new(V)
+	if err := record.Decode(value, decoded); err != nil {
 		return err
 	}
-	m[key] = kept
+	m[key] = decoded
 	return nil
 }
 
-// renew rewrites the leadership record until the term is over.
-func (l *leader) renew(next int64) {
-	l.seen()
+// renewLeadership rewrites the leadership record at intervals until the term ends. next
+// is the offset of the next record.
+func (l *leader) renewLeadership(next int64) {
+	l.noteStoreAnswer()
 	rec := l.rec
 	for l.ctx.Err() == nil {
-		wait.For(l.ctx, renewEvery)
+		wait.For(l.ctx, leadershipRenewInterval)
 		if l.ctx.Err() != nil {
 			return
 		}
@@ -114,42 +121,45 @@
 		cancel()
 		if err == nil {
 			next++
-			l.seen()
+			l.noteStoreAnswer()
 			continue
 		}
 		if l.ctx.Err() != nil {
 			return
 		}
-		l.refused(err)
-		now, _, place, found, readErr := l.n.readLeadership(l.ctx)
+		l.noteStoreFailure(err)
+		current, _, currentNext, found, readErr := l.n.readLeadership(l.ctx)
 		if readErr != nil {
 			continue
 		}
-		if found && now.Session != l.rec.Session {
-			l.stop("term " + now.Instance + " has begun")
+		if found && current.Session != l.rec.Session {
+			l.stop("instance " + current.Instance + " has claimed the leadership")
 			return
 		}
-		next = place
+		next = currentNext
 	}
 }
 
-// seen notes that the store has answered this leader.
-func (l *leader) seen() {
-	l.n.mark(&l.n.storeSeen)
-	if l.failing.Swap(0) != 0 {
+// noteStoreAnswer records that a call to the store has succeeded.
+func (l *leader) noteStoreAnswer() {
+	l.n.setNow(&l.n.storeAnsweredAt)
+	if l.storeFailingSince.Swap(0) != 0 {
 		l.post(&engine.StoreAnswered{})
 	}
 }
 
-func (l *leader) refused(err error) {
-	if !l.failing.CompareAndSwap(0, int64(time.Since(l.n.born))) {
-		return // told already
+// noteStoreFailure records that a call to the store has failed, and logs the first
+// failure after a success.
+func (l *leader) noteStoreFailure(err error) {
+	if !l.storeFailingSince.CompareAndSwap(0, int64(time.Since(l.n.startedAt))) {
+		return // logged already
 	}
-	l.n.log.Warn("store call failed", "term", l.rec.Term, "reason", err.Error(), "last_answer_ms", l.n.since(&l.n.storeSeen).Milliseconds())
+	l.n.log.Warn("store call failed", "term", l.rec.Term, "reason", err.Error(), "last_answer_ms", l.n.since(&l.n.storeAnsweredAt).Milliseconds())
 }
 
-// resign lets another instance lead at once: the strongest one, or else whichever
-// sees first that nobody leads.
+// resign ends the term so that another instance can lead at once: the one that successor
+// returns or, if there is none or it cannot be reached, the first that reads the
+// resignation.
 func (l *leader) resign(ctx context.Context) {
 	if to := l.successor(); to != nil && l.handOver(to) {
 		return
--- a/internal/cell/peer/peer.go
+++ b/internal/cell/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries calls between the instances of a cell: net/rpc over TCP
-// connections that are given up as soon as they look dead.
+// Package peer implements calls between the instances of a cell: net/rpc over TCP
+// connections that are closed when they do not respond.
 package peer
 
 import (
@@ -16,19 +16,19 @@
 const (
 	// dialTimeout bounds the opening of a connection inside a region.
 	dialTimeout = 400 * time.Millisecond
-	// idleTimeout ends a connection on which nothing has come. Instances ping each
-	// other several times in that time.
+	// idleTimeout bounds each read from and write to a connection that this instance has
+	// accepted. Instances that follow the leader ping it several times in that time.
 	idleTimeout = 4 * time.Second
 )
 
-// ErrRefused tells that no process listens at the address: it has ended.
+// ErrRefused means that no process listens at the address: the process has ended.
 var ErrRefused = errors.New("connection refused")
 
 // Dial opens a connection to another instance. It returns an error marked
 // ErrRefused if no process listens there.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// DialTCP is the Dial of instances on a network.
+// DialTCP is a Dial that connects over TCP.
 func DialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -38,19 +38,19 @@
 	return conn, errors.Wrapf(err, "dial %s", address)
 }
 
-// Client calls one other instance. It opens its connection on the first call and
-// again after a failure.
+// Client calls one other instance. It opens its connection at the first call and reopens
+// it at the first call after a failure.
 type Client struct {
-	address string
-	dial    Dial
-	dialing chan struct{} // held by the call that opens the connection
-	mu      sync.Mutex
-	conn    *rpc.Client
-	heard   time.Time // when the last answer came
+	address   string
+	dial      Dial
+	dialing   chan struct{} // held by the call that opens the connection
+	mu        sync.Mutex
+	conn      *rpc.Client
+	lastReply time.Time // when the last answer came
 }
 
-// connect returns the open connection, or opens one. Calls that come meanwhile wait
-// for it no longer than their contexts allow.
+// connect returns the open connection, or opens one. Other calls wait for it to open, at
+// most until their contexts end.
 func (c *Client) connect(ctx context.Context) (*rpc.Client, error) {
 	if conn := c.current(); conn != nil {
 		return conn, nil
@@ -64,28 +64,31 @@
 	if conn := c.current(); conn != nil {
 		return conn, nil
 	}
-	raw, err := c.dial(ctx, c.address)
+	transport, err := c.dial(ctx, c.address)
 	if err != nil {
 		return nil, err
 	}
-	conn := rpc.NewClient(raw)
+	conn := rpc.NewClient(transport)
 	c.mu.Lock()
 	c.conn = conn
 	c.mu.Unlock()
 	return conn, nil
 }
 
+// current returns the open connection, or nil.
 func (c *Client) current() *rpc.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.conn
 }
 
-// ErrNotSent marks a failure before the call was sent: it has had no effect.
+// ErrNotSent marks errors of calls that failed before they were sent and thus had no
+// effect.
 var ErrNotSent = errors.New("not sent")
 
-// Call calls method and waits for its reply until ctx ends. An error that is not
-// marked ErrNotSent leaves open whether the call had an effect.
+// Call calls method and waits for its reply until ctx ends. After an error that is not
+// marked ErrNotSent the call may or may not have had an effect. If ctx ends and the
+// connection has brought no reply since the call was sent, Call closes the connection.
 func (c *Client) Call(ctx context.Context, method string, args, reply any) error {
 	conn, err := c.connect(ctx)
 	if err != nil {
@@ -95,40 +98,43 @@
 	call := conn.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		return c.finished(conn, call.Error)
+		return c.handleResult(conn, call.Error)
 	case <-ctx.Done():
 		c.mu.Lock()
-		dead := c.conn == conn && c.heard.Before(sent)
+		unresponsive := c.conn == conn && c.lastReply.Before(sent)
 		c.mu.Unlock()
-		if dead {
-			c.drop(conn)
+		if unresponsive {
+			c.closeConn(conn)
 		}
 		return errors.Wrapf(ctx.Err(), "%s at %s", method, c.address)
 	}
 }
 
-func (c *Client) finished(conn *rpc.Client, err error) error {
+// handleResult handles the result of a call on conn. An error of the connection closes
+// it; an error that the peer returned does not.
+func (c *Client) handleResult(conn *rpc.Client, err error) error {
 	var fromPeer rpc.ServerError
 	if err == nil || errors.As(err, &fromPeer) {
 		c.mu.Lock()
-		c.heard = time.Now()
+		c.lastReply = time.Now()
 		c.mu.Unlock()
 		return errors.Wrap(err, c.address)
 	}
-	c.drop(conn)
+	c.closeConn(conn)
 	if errors.Is(err, rpc.ErrShutdown) {
 		return errors.Mark(errors.Wrap(err, c.address), ErrNotSent)
 	}
 	return errors.Wrap(err, c.address)
 }
 
-func (c *Client) drop(conn *rpc.Client) {
+// closeConn closes conn. The next call opens another connection.
+func (c *Client) closeConn(conn *rpc.Client) {
 	c.mu.Lock()
 	if c.conn == conn {
 		c.conn = nil
 	}
 	c.mu.Unlock()
-	_ = conn.Close() // the connection is given up; there is nothing left to lose
+	_ = conn.Close() // the connection is no longer used, so the error does not matter
 }
 
 // Pool keeps one client for each address.
@@ -169,7 +175,7 @@
 	}
 }
 
-// idleConn ends a connection on which nothing has come for idleTimeout.
+// idleConn is a connection whose reads and writes time out after idleTimeout.
 type idleConn struct{ net.Conn }
 
 // Read implements net.Conn.
