--- a/internal/cell/node/actions.go
+++ b/internal/cell/node/actions.go
@@ -38,9 +38,9 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(l.ctx, a.Timeout)
 			defer cancel()
-			begun := time.Now()
+			start := time.Now()
 			ev := l.n.ports.Workers.Start(ctx, l.rec.Term, a)
-			l.n.stats.Start.UpdateSince(begun)
+			l.n.stats.Start.UpdateSince(start)
 			l.post(ev)
 		}()
 	case *engine.Stop:
--- a/internal/cell/node/cluster_test.go
+++ b/internal/cell/node/cluster_test.go
@@ -28,9 +28,10 @@
 	store       *memoryStore
 	mu          sync.Mutex
 	members     map[string]*member
-	unreachable map[string]bool // instances that no other reaches
+	unreachable map[string]bool // instances whose network connections lose all data
 }
 
+// member is one instance of a cluster, and the listener of its peers.
 type member struct {
 	*Node
 	address string
@@ -41,11 +42,11 @@
 	pipes   []*pipe
 }
 
-// _ starts the goroutine that the metrics library shares between all meters. It
-// must not belong to the virtual time of one test.
+// NewStats starts the goroutine that the metrics library shares between all meters. It
+// must start outside the virtual time of a test.
 var _ = NewStats()
 
-// play runs f on a cluster of n instances in virtual time.
+// runCluster runs f on a cluster of n instances in virtual time.
 func runCluster(t *testing.T, n int, f func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{t: t, store: newMemoryStore(), members: make(map[string]*member), unreachable: make(map[string]bool)}
@@ -56,13 +57,14 @@
 			for _, m := range c.all() {
 				c.kill(m)
 			}
-			time.Sleep(20 * time.Second) // calls under way run into their timeouts
+			time.Sleep(20 * time.Second) // until calls in progress have timed out
 		}()
 		time.Sleep(2 * time.Second)
 		f(t, c)
 	})
 }
 
+// all returns the running instances.
 func (c *cluster) all() []*member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +77,7 @@
 	return all
 }
 
-// start starts an instance with a share of a core.
+// start starts an instance with a CPU share in cores.
 func (c *cluster) start(name string, share float64) *member {
 	m := &member{address: name + ":1", stopped: make(chan struct{}), conns: make(chan net.Conn), store: &storeAccess{memoryStore: c.store}}
 	set := Settings{
@@ -106,7 +108,7 @@
 	return m
 }
 
-// kill ends an instance without notice.
+// kill stops an instance that has no chance to resign.
 func (c *cluster) kill(m *member) {
 	c.mu.Lock()
 	delete(c.members, m.settings.Instance)
@@ -145,7 +147,7 @@
 	return nil
 }
 
-// dial connects two instances. One that is cut off is not answered.
+// dial connects two instances.
 func (c *cluster) dial(ctx context.Context, from *member, address string) (net.Conn, error) {
 	time.Sleep(time.Millisecond)
 	var to *member
@@ -188,7 +190,7 @@
 // Addr implements net.Listener.
 func (m *member) Addr() net.Addr { return nil }
 
-// pipe loses what is written while one of its ends is cut off.
+// pipe loses what is written to it while one of its instances is unreachable.
 type pipe struct {
 	net.Conn
 	c         *cluster
@@ -206,7 +208,7 @@
 	return p.Conn.Write(b)
 }
 
-// memory is a store.
+// memoryStore is a store in memory.
 type memoryStore struct {
 	mu      sync.Mutex
 	leaders []Leadership
@@ -217,7 +219,7 @@
 
 func newMemoryStore() *memoryStore { return &memoryStore{records: make(map[string][]byte)} }
 
-// mode is how the store treats an instance.
+// storeMode is how the store responds to an instance.
 type storeMode int
 
 const (
@@ -226,12 +228,12 @@
 	storeNoAnswer
 )
 
-// access is the store as one instance sees it.
+// storeAccess is the store as one instance reaches it.
 type storeAccess struct {
 	*memoryStore
 	mu       sync.Mutex
 	mode     storeMode
-	slowdown time.Duration // how many times as long the store takes; zero is once
+	slowdown time.Duration // multiplier of storeLatency; zero means one
 }
 
 func (a *storeAccess) setSlowdown(factor time.Duration) {
@@ -246,8 +248,10 @@
 	a.mu.Unlock()
 }
 
+// storeLatency is how long the store takes to answer a call.
 const storeLatency = 4 * time.Millisecond
 
+// call runs f as a call to the store with the latency and the mode in force.
 func (a *storeAccess) call(ctx context.Context, f func() error) error {
 	a.mu.Lock()
 	mode, slowdown := a.mode, max(1, a.slowdown)
@@ -269,15 +273,15 @@
 }
 
 // ReadLeadership implements Store.
-func (a *storeAccess) ReadLeadership(ctx context.Context) (rec Leadership, at, next int64, found bool, err error) {
+func (a *storeAccess) ReadLeadership(ctx context.Context) (rec Leadership, offset, next int64, found bool, err error) {
 	err = a.call(ctx, func() error {
 		next = int64(len(a.leaders))
 		if next > 0 {
-			rec, at, found = a.leaders[next-1], next-1, true
+			rec, offset, found = a.leaders[next-1], next-1, true
 		}
 		return nil
 	})
-	return rec, at, next, found, err
+	return rec, offset, next, found, err
 }
 
 // WriteLeadership implements Store.
@@ -329,8 +333,8 @@
 	})
 }
 
-// directory lists a single worker. It tells of it as changed once in the life of its
-// instance, as the platform's does.
+// directory lists a single worker. It reports a change only once for each incarnation of
+// its instance, as the platform's directory does.
 type directory struct {
 	*storeAccess
 	reported *atomic.Bool
@@ -344,7 +348,7 @@
 	return []engine.Listed{{ID: "w", Life: 1, Address: "w:1", Service: "s", Capacity: job.Resources{CPU: 64000, MemMB: 64000}}}, !d.reported.Swap(true), nil
 }
 
-// oneWorker takes every order.
+// oneWorker accepts every command.
 type oneWorker struct{}
 
 // Start implements Workers.
@@ -364,7 +368,8 @@
 	return &engine.Looked{Worker: renewal.Worker, Life: 1, Sent: sent, Report: &engine.Report{Life: 1, Clock: time.Now().UnixMilli()}}
 }
 
-// fixedPolicy declares one queue. It reads the store as the platform's does.
+// fixedPolicy declares one queue. It reads the store at intervals, as the platform's
+// Policies does.
 type fixedPolicy struct{ m *member }
 
 // Watch implements Policies.
--- a/internal/cell/node/node.go
+++ b/internal/cell/node/node.go
@@ -46,10 +46,10 @@
 	incarnation string
 	peers       *peer.Pool
 
-	policy        atomic.Pointer[policy.Policy]
-	leading       atomic.Pointer[leader]
-	knownLeader   atomic.Pointer[Leadership]
-	cellInstances atomic.Pointer[instanceList]
+	policy        atomic.Pointer[policy.Policy] // declarations in force; nil until the first version arrives
+	leading       atomic.Pointer[leader]        // nil unless this instance leads
+	knownLeader   atomic.Pointer[Leadership]    // leader that is followed, or this instance while it prepares to lead or leads; nil if unknown
+	cellInstances atomic.Pointer[instanceList]  // newest list from the leader; nil until the first arrives
 	// leaderAnsweredAt is when the leader last answered, in nanoseconds since
 	// startedAt.
 	leaderAnsweredAt atomic.Int64
@@ -61,8 +61,8 @@
 	takeOverRequested chan struct{} // signals that a peer asked this instance to take over
 	leaderDoubted     chan struct{} // signals that the followed instance may no longer lead
 
-	mu      sync.Mutex
-	changed chan struct{} // closed when the leader changes
+	mu           sync.Mutex
+	leaderChange chan struct{} // closed when the leader changes
 }
 
 // New returns a node. It does nothing until Run is called.
@@ -73,8 +73,9 @@
 	}
 	n := &Node{
 		settings: settings, ports: ports, log: log, stats: stats, incarnation: hex.EncodeToString(raw[:]),
-		peers: peer.NewPool(settings.Dial), startedAt: time.Now(), takeOverRequested: make(chan struct{}, 1), leaderDoubted: make(chan struct{}, 1), changed: make(chan struct{}),
+		peers: peer.NewPool(settings.Dial), startedAt: time.Now(), takeOverRequested: make(chan struct{}, 1), leaderDoubted: make(chan struct{}, 1), leaderChange: make(chan struct{}),
 	}
+	// Neither has answered yet; an hour is longer than all timeouts for answers.
 	n.storeAnsweredAt.Store(-int64(time.Hour))
 	n.leaderAnsweredAt.Store(-int64(time.Hour))
 	return n
@@ -160,8 +161,8 @@
 // notifyLeaderChanged closes the channel that leaderChanged has returned.
 func (n *Node) notifyLeaderChanged() {
 	n.mu.Lock()
-	close(n.changed)
-	n.changed = make(chan struct{})
+	close(n.leaderChange)
+	n.leaderChange = make(chan struct{})
 	n.mu.Unlock()
 }
 
@@ -169,7 +170,7 @@
 func (n *Node) leaderChanged() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.changed
+	return n.leaderChange
 }
 
 // storeTimeout bounds one call to the store, other than appends and loads, or to the
@@ -182,8 +183,7 @@
 // storeUnreachableTimeout is how long the store must not have answered an instance to
 // count as unreachable from there. It is longer than the time between two answers of a
 // reachable store. An instance that cannot reach the store asks other instances first
-// who leads. It does not get the leadership because of its CPU share or when the leader
-// resigns.
+// who leads, and the leader does not hand over to it for its CPU share or when resigning.
 const storeUnreachableTimeout = 2 * time.Second
 
 // followOrCampaign finds out who leads and follows that leader, or campaigns if nobody
--- a/internal/cell/node/node_test.go
+++ b/internal/cell/node/node_test.go
@@ -14,11 +14,11 @@
 	"pollenbend/internal/verdict"
 )
 
-// takeoverBound is how long an instance may be without a leader after the leader's
+// maxTakeoverTime is how long instances may be without a leader after the leader's
 // process has ended, in a cell whose store answers.
 const maxTakeoverTime = 1500 * time.Millisecond
 
-// callerBound is how long callers try to hand in a job: no change of leaders may take
+// maxCallerWait is how long callers try to submit a job. No change of leaders may take
 // longer.
 const maxCallerWait = 3 * time.Second
 
@@ -26,7 +26,8 @@
 	return &job.Spec{ID: id, Queue: "q", Team: "a", Payload: "p", Steps: []job.Step{{Count: 1, Need: job.Resources{CPU: 1000, MemMB: 10}, Estimate: time.Hour}}}
 }
 
-// submitted hands in a job and asks again while the verdict allows it.
+// submitWithin submits a job to m and retries until it is accepted. It fails the test if
+// that takes longer than limit.
 func submitWithin(t *testing.T, m *member, id string, limit time.Duration) {
 	t.Helper()
 	start := time.Now()
@@ -99,8 +100,8 @@
 	})
 }
 
-// An instance that the store turns away learns from the others who leads, after the
-// leader that it knew is gone.
+// An instance that cannot reach the store learns from the others who leads after the
+// leader that it followed has ended.
 func TestInstanceWithoutStoreFindsNextLeader(t *testing.T) {
 	for name, mode := range map[string]storeMode{"refused": storeRefuses, "silent": storeNoAnswer} {
 		t.Run(name, func(t *testing.T) {
@@ -117,8 +118,8 @@
 	}
 }
 
-// The same for the leader itself, which the store turns away with a third of the
-// instances.
+// The store refuses the leader and two of the other eight instances. They find the next
+// leader without it.
 func TestDeposedLeaderFollowsSuccessorWithoutStore(t *testing.T) {
 	runCluster(t, 9, func(t *testing.T, c *cluster) {
 		old := c.leader()
@@ -143,7 +144,7 @@
 		old := c.leader()
 		begun := time.Now()
 		old.Drain(context.Background())
-		submitWithin(t, c.follower(), "next", 100*time.Millisecond) // no ping has to find out first
+		submitWithin(t, c.follower(), "next", 100*time.Millisecond) // without waiting for the next ping
 		assert.Less(t, time.Since(begun), 100*time.Millisecond)
 		assert.NotSame(t, old, c.leader())
 		time.Sleep(100 * time.Millisecond)
@@ -152,7 +153,7 @@
 	})
 }
 
-// Without a leader a request is refused soon, as not run.
+// A request without a leader is refused within noLeaderTimeout, as not run.
 func TestRequestWithoutLeaderIsRefused(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		m := c.follower()
@@ -172,8 +173,8 @@
 	})
 }
 
-// Weak instances take seconds to load a large state, so they leave the leadership to
-// strong ones, and follow them as soon as these lead.
+// Instances with little CPU take seconds to load a large state. They leave the leadership
+// to instances with more CPU and follow these as soon as they lead.
 func TestInstancesWithMoreCPULead(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		var lowCPUMembers []*member
@@ -190,12 +191,12 @@
 			time.Sleep(time.Second)
 		}
 		c.kill(c.leader())
-		submitWithin(t, lowCPUMembers[0], "last", maxCallerWait) // only weak ones are left
+		submitWithin(t, lowCPUMembers[0], "last", maxCallerWait) // only low-CPU instances remain
 	})
 }
 
-// The store is away for all instances, and comes back for all. Its leader goes on,
-// and hands over to nobody.
+// After a store outage that all instances see, the leader goes on leading and does not
+// hand over.
 func TestLeaderStaysAfterStoreOutage(t *testing.T) {
 	for name, mode := range map[string]storeMode{"refused": storeRefuses, "silent": storeNoAnswer} {
 		t.Run(name, func(t *testing.T) {
@@ -209,12 +210,12 @@
 					m.store.setMode(mode)
 				}
 				_, err := old.Submit(callerContext(t), spec("lost"))
-				t.Log("submitted into the outage:", err)
+				t.Log("submitted during the outage:", err)
 				time.Sleep(150 * time.Millisecond)
 				for _, m := range c.all() {
 					m.store.setMode(storeServes)
 				}
-				submitWithin(t, c.follower(), "after", time.Second) // though an append was under way
+				submitWithin(t, c.follower(), "after", time.Second) // although an append was in progress during the outage
 				time.Sleep(3 * time.Second)
 				assert.Same(t, old, c.leader())
 			})
@@ -222,15 +223,15 @@
 	}
 }
 
-// shortly returns a context that lasts as long as a caller waits.
+// callerContext returns a context that ends after maxCallerWait.
 func callerContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), maxCallerWait)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// The store swallows the calls of the leader alone: another instance leads before
-// callers give up on an urgent job.
+// The store does not answer the leader but answers the others. Another instance leads
+// before callers of an urgent job time out.
 func TestLeaderWithoutStoreAnswersHandsOver(t *testing.T) {
 	runCluster(t, 5, func(t *testing.T, c *cluster) {
 		old := c.leader()
@@ -240,7 +241,7 @@
 	})
 }
 
-// A store that is slow for all is no reason to change leaders.
+// A store that is slow for all instances does not cause a change of leaders.
 func TestSlowStoreKeepsLeader(t *testing.T) {
 	runCluster(t, 5, func(t *testing.T, c *cluster) {
 		old := c.leader()
@@ -256,8 +257,8 @@
 	})
 }
 
-// An instance that has led before leads again. Its directory is as it was at its
-// first term; the new term knows the workers all the same.
+// An instance leads a second time. Its directory reports no change since its first term,
+// but the second term must know the workers too.
 func TestInstanceLeadsTwice(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		first := c.leader()
--- a/internal/cell/node/ports.go
+++ b/internal/cell/node/ports.go
@@ -38,7 +38,7 @@
 type Store interface {
 	// ReadLeadership returns the newest leadership record, its offset, and the offset
 	// of the next one. found is false if there is none.
-	ReadLeadership(ctx context.Context) (rec Leadership, at, next int64, found bool, err error)
+	ReadLeadership(ctx context.Context) (rec Leadership, offset, next int64, found bool, err error)
 	// WriteLeadership stores rec if next is still the offset of the next record. It
 	// returns an error marked ErrConflict otherwise.
 	WriteLeadership(ctx context.Context, rec Leadership, next int64) error
