--- a/internal/cell/node/leader.go
+++ b/internal/cell/node/leader.go
@@ -57,8 +57,8 @@
 	loadTimeout = 8 * time.Second
 )
 
-// preparing reports whether this instance has claimed the leadership and is
-// loading its state.
+// preparing reports whether this instance has claimed the leadership and prepares to
+// lead. It is also true while the instance leads.
 func (n *Node) preparing() bool {
 	known := n.knownLeader.Load()
 	return known != nil && known.Session == n.incarnation
--- a/internal/cell/node/term.go
+++ b/internal/cell/node/term.go
@@ -35,6 +35,7 @@
 	return e
 }
 
+// wallClock returns the Unix time in milliseconds.
 func wallClock() int64 { return time.Now().UnixMilli() }
 
 // fence makes the store refuse appends of earlier leaders. It retries until that has
