--- a/internal/cell/engine/admit.go
+++ b/internal/cell/engine/admit.go
@@ -9,8 +9,8 @@
 	"pollenbend/internal/cell/policy"
 )
 
-// admit decides whether a job is accepted. It returns why not, and when to ask
-// again.
+// admit decides whether a job is accepted. It returns the reason for a refusal, or "",
+// and the delay before a retry, or zero.
 func (e *Engine) admit(spec *job.Spec) (string, time.Duration) {
 	q := e.policy.Queue(spec.Queue)
 	if q == nil {
@@ -22,20 +22,21 @@
 	if spec.Scheduled() {
 		return "", 0
 	}
-	chain := slices.Max(e.tailsOf(spec))
+	criticalPath := slices.Max(e.criticalPathsOf(spec))
 	first := widest(spec)
-	l := e.loadFor(q, first)
-	d := admission.Decide(admission.Job{
-		Cores: float64(first.Charge().CPU) / 1000 * float64(first.Count), Chain: chain,
-		Objective: objective(q, chain), Overdue: !e.peekAllowance(spec.Team),
-	}, l)
-	return d.Why, d.RetryAfter
+	load := e.loadFor(q, first)
+	decision := admission.Decide(admission.Job{
+		Cores: float64(first.Charge().CPU) / 1000 * float64(first.Count), Chain: criticalPath,
+		Objective: objective(q, criticalPath), Overdue: !e.hasToken(spec.Team),
+	}, load)
+	return decision.Why, decision.RetryAfter
 }
 
-// neverFits says why no worker, or no limit, could ever hold a step of the job.
+// neverFits returns the reason why the job could never run, or "": one of its steps is
+// larger than its team's limit or than any worker.
 func (e *Engine) neverFits(spec *job.Spec, q *policy.Queue) string {
-	if len(e.order) == 0 || e.now.Sub(e.started) < e.cfg.MaxLease {
-		return "" // not every worker may be known yet
+	if len(e.workerList) == 0 || e.now.Sub(e.started) < e.cfg.MaxLease {
+		return "" // some workers may not be known yet
 	}
 	team := e.policy.Team(spec.Team)
 	for i := range spec.Steps {
@@ -53,48 +54,51 @@
 	return ""
 }
 
+// someWorkerFits reports whether a worker of the queue's service could run a task of s
+// if it were idle.
 func (e *Engine) someWorkerFits(s *job.Step, q *policy.Queue) bool {
-	for _, w := range e.order {
-		if w.service == q.Service && w.mayHold(s) {
+	for _, w := range e.workerList {
+		if w.service == q.Service && w.canHold(s) {
 			return true
 		}
 	}
 	return false
 }
 
-// allowance counts the jobs of a team against what it is owed.
-type allowance struct {
+// tokenBucket meters the jobs of a team against its entitlement, which is the team's
+// weight in jobs per second.
+type tokenBucket struct {
 	tokens float64
 	at     time.Time
 }
 
-// allowanceSpan is how much of a team's owed rate it may send at once.
-const allowanceSpan = time.Second
+// entitlementBurst is the time of a team's entitlement that it may use in a burst.
+const entitlementBurst = time.Second
 
-// peekAllowance reports whether one more job of team would be within what it is
-// owed.
-func (e *Engine) peekAllowance(name string) bool {
+// hasToken reports whether one more job of the team would be within its entitlement.
+func (e *Engine) hasToken(name string) bool {
 	team := e.policy.Team(name)
-	a := e.owed[name]
+	a := e.entitlements[name]
 	if team == nil || team.Weight <= 0 || a == nil {
 		return true
 	}
 	return a.tokens+team.Weight*e.now.Sub(a.at).Seconds() >= 1
 }
 
-// allow reports whether one more job of team is within what it is owed.
-func (e *Engine) allow(name string) bool {
+// takeToken counts one more job of the team and reports whether it is within the team's
+// entitlement.
+func (e *Engine) takeToken(name string) bool {
 	team := e.policy.Team(name)
 	if team == nil || team.Weight <= 0 {
 		return true
 	}
-	most := team.Weight * allowanceSpan.Seconds()
-	a := e.owed[name]
+	burst := team.Weight * entitlementBurst.Seconds()
+	a := e.entitlements[name]
 	if a == nil {
-		a = &allowance{tokens: most, at: e.now}
-		e.owed[name] = a
+		a = &tokenBucket{tokens: burst, at: e.now}
+		e.entitlements[name] = a
 	}
-	a.tokens = min(most, a.tokens+team.Weight*e.now.Sub(a.at).Seconds())
+	a.tokens = min(burst, a.tokens+team.Weight*e.now.Sub(a.at).Seconds())
 	a.at = e.now
 	if a.tokens < 1 {
 		return false
--- a/internal/cell/engine/advising.go
+++ b/internal/cell/engine/advising.go
@@ -9,48 +9,51 @@
 	"pollenbend/internal/cell/policy"
 )
 
-// adviceState is what the adviser has said of a step.
+// adviceState holds the adviser's answers about a step.
 type adviceState struct {
-	good    map[string]ticket // by worker; a worker that is not good has no ticket
-	order   []string          // the workers in good, in the order in which they were found
-	asked   map[string]int64  // life of each worker that was asked about
-	calls   int               // under way
-	retryAt time.Time
+	good          map[string]ticket // by worker, for the workers that are good for the step
+	goodOrder     []string          // the workers in good, in the order of the answers
+	asked         map[string]int64  // incarnation of each worker that the adviser was asked about
+	callsInFlight int               // calls without an answer yet
+	retryAt       time.Time         // earliest next call after a failed one
 }
 
-// first reports whether the adviser has not answered yet for the first time.
-func (a *adviceState) first() bool { return a != nil && a.calls > 0 && len(a.asked) == 0 }
+// awaitsFirstAnswer reports whether the first call about the step has no answer yet.
+func (a *adviceState) awaitsFirstAnswer() bool {
+	return a != nil && a.callsInFlight > 0 && len(a.asked) == 0
+}
 
-// adviceSoFar returns the state of the advice for s, which is empty at first.
-func (s *stepRun) adviceSoFar() *adviceState {
+// ensureAdvice returns the advice about s and creates it on first use.
+func (s *stepRun) ensureAdvice() *adviceState {
 	if s.advice == nil {
 		s.advice = &adviceState{good: make(map[string]ticket), asked: make(map[string]int64)}
 	}
 	return s.advice
 }
 
-// known notes that a worker is good for s.
-func (s *stepRun) known(worker string, t ticket) {
-	a := s.adviceSoFar()
-	if _, there := a.good[worker]; !there {
-		a.order = append(a.order, worker)
+// markGood records that a worker is good for s.
+func (s *stepRun) markGood(worker string, t ticket) {
+	a := s.ensureAdvice()
+	if _, known := a.good[worker]; !known {
+		a.goodOrder = append(a.goodOrder, worker)
 	}
-	a.good[worker], a.asked[worker] = t, t.life
+	a.good[worker], a.asked[worker] = t, t.incarnation
 }
 
+// ticket is the adviser's permission to start tasks of a step on a worker.
 type ticket struct {
-	value string
-	life  int64
-	until time.Time
+	value       string
+	incarnation int64
+	validUntil  time.Time
 }
 
-// arm is an instance that can call the adviser.
-type arm struct {
+// delegate is an instance that can call the adviser.
+type delegate struct {
 	name string
 	advice.Arm
 }
 
-// ticket returns the ticket of s for a worker; the zero ticket if none is needed.
+// ticket returns the ticket of s for a worker, or the zero ticket if none is needed.
 func (s *stepRun) ticket(worker string) ticket {
 	if s.advice == nil {
 		return ticket{}
@@ -58,92 +61,93 @@
 	return s.advice.good[worker]
 }
 
-func (s *stepRun) dropTicket(worker string) {
+// invalidateTicket makes the ticket of s for a worker count as expired.
+func (s *stepRun) invalidateTicket(worker string) {
 	if s.advice == nil {
 		return
 	}
 	if t, ok := s.advice.good[worker]; ok {
-		t.until = time.Time{}
+		t.validUntil = time.Time{}
 		s.advice.good[worker] = t
 	}
 }
 
-// ticketMargin is the time that an order needs to reach its worker, taken off the
-// life of a ticket beside the time that its record needs to be stored.
+// ticketMargin is the time that a start command takes to reach its worker. The validity
+// of a ticket is reduced by it and by the time that storing the run's record takes.
 const ticketMargin = 60 * time.Millisecond
 
-// ticketHolds reports whether a ticket will still be valid when an order that is
-// planned at that time reaches its worker.
-func (e *Engine) ticketHolds(t ticket, at time.Time) bool {
-	return at.Add(ticketMargin + e.storing).Before(t.until)
+// ticketValidAt reports whether a ticket is still valid when the start command of a run
+// that is planned at the given time reaches its worker.
+func (e *Engine) ticketValidAt(t ticket, at time.Time) bool {
+	return at.Add(ticketMargin + e.storeLatency).Before(t.validUntil)
 }
 
-// ticketed returns the usable workers that s has a valid ticket for.
-func (e *Engine) ticketed(s *stepRun) []*worker {
+// workersWithTicket returns the usable workers for which s has a valid ticket.
+func (e *Engine) workersWithTicket(s *stepRun) []*worker {
 	var out []*worker
-	for _, w := range e.goodFor(s) {
-		if e.ticketHolds(s.advice.good[w.id], e.now) {
+	for _, w := range e.goodWorkers(s) {
+		if e.ticketValidAt(s.advice.good[w.id], e.now) {
 			out = append(out, w)
 		}
 	}
 	return out
 }
 
-// goodFor returns the usable workers that the adviser found good for s, in the order
-// in which it did.
-func (e *Engine) goodFor(s *stepRun) []*worker {
+// goodWorkers returns the usable workers that the adviser found good for s, in the order
+// of its answers.
+func (e *Engine) goodWorkers(s *stepRun) []*worker {
 	if s.advice == nil {
 		return nil
 	}
-	out := make([]*worker, 0, len(s.advice.order))
-	for _, id := range s.advice.order {
+	out := make([]*worker, 0, len(s.advice.goodOrder))
+	for _, id := range s.advice.goodOrder {
 		w := e.workers[id]
-		if w != nil && s.advice.good[id].life == w.life && w.usable(e.now) {
+		if w != nil && s.advice.good[id].incarnation == w.incarnation && w.usable(e.now) {
 			out = append(out, w)
 		}
 	}
 	return out
 }
 
-// advise asks the adviser about workers for s if that could help to place it.
-func (e *Engine) advise(s *stepRun, q *policy.Queue, r *room) {
-	a := s.adviceSoFar()
-	if a.calls > 0 || e.now.Before(a.retryAt) {
+// advise calls the adviser about workers for s if that could help to place s.
+func (e *Engine) advise(s *stepRun, q *policy.Queue, round *placementRound) {
+	a := s.ensureAdvice()
+	if a.callsInFlight > 0 || e.now.Before(a.retryAt) {
 		return
 	}
-	if e.chooseArm(q.Advice.Base) == nil {
-		return // no arm could take the call, whatever it asks
+	if e.chooseDelegate(q.Advice.Base) == nil {
+		return // no delegate can take even the shortest call
 	}
-	ask := e.worthAsking(s, q, r)
-	for _, part := range split(ask, callsFor(s, len(ask))) {
-		if !e.call(s, q, part) {
-			return // the rest is asked about later
+	ask := e.workersToAsk(s, q, round)
+	for _, workers := range split(ask, callCount(s, len(ask))) {
+		if !e.callAdviser(s, q, workers) {
+			return // a later round asks about the remaining workers
 		}
 	}
 }
 
 const (
-	// callSize is about how many workers a call names, where several calls ask for a
-	// gang at a time: with fewer, a call costs little less.
-	callSize = 60
-	// mostCalls bounds the calls for a gang at a time, which leave other steps without
-	// an arm.
-	mostCalls = 3
+	// gangCallSize is the approximate number of workers per call when several calls are
+	// made for a gang at once. Fewer workers would make a call hardly cheaper.
+	gangCallSize = 60
+	// maxCalls is the maximum number of concurrent calls for a step. They occupy
+	// delegates that other steps need.
+	maxCalls = 3
 )
 
-// callsFor returns how many calls side by side ask about n workers for s. A gang
-// starts after the last of its answers, and the tickets of the first last little
-// longer than a call.
-func callsFor(s *stepRun, n int) int {
-	size := mostAsked
+// callCount returns the number of concurrent calls to make about n workers for s. A gang
+// starts after the last answer, and the tickets of the first answer are valid for little
+// longer than a call takes, so a gang's calls are smaller.
+func callCount(s *stepRun, n int) int {
+	perCall := maxWorkersPerCall
 	if s.spec.Gang {
-		size = callSize
+		perCall = gangCallSize
 	}
-	return min(mostCalls, (n+size-1)/size)
+	return min(maxCalls, (n+perCall-1)/perCall)
 }
 
-// split cuts workers into n parts of about the same length. It deals them out in
-// turn, so that each part has some of the best.
+// split divides workers into n parts of about the same length, round-robin, so that each
+// part contains some of the highest ranked ones.
 func split(workers []*worker, n int) [][]*worker {
 	parts := make([][]*worker, min(n, len(workers)))
 	for i, w := range workers {
@@ -152,235 +156,243 @@
 	return parts
 }
 
-// call has an arm ask about workers for s. It reports whether there is an arm.
-func (e *Engine) call(s *stepRun, q *policy.Queue, ask []*worker) bool {
+// callAdviser has a delegate call the adviser about workers for s. It reports whether a
+// delegate could take the call.
+func (e *Engine) callAdviser(s *stepRun, q *policy.Queue, ask []*worker) bool {
 	cost := q.Advice.Of(len(ask))
-	chosen := e.chooseArm(cost)
+	chosen := e.chooseDelegate(cost)
 	if chosen == nil {
 		return false
 	}
 	chosen.Take(e.now, cost)
-	s.advice.calls++
+	s.advice.callsInFlight++
 	names := make([]string, len(ask))
 	for i, w := range ask {
 		names[i] = w.id
 	}
-	e.emit(&Ask{Arm: chosen.name, Step: s.name, Workers: names, Cost: cost, step: s, sent: e.now})
+	e.emit(&Ask{Arm: chosen.name, Step: s.name, Workers: names, Cost: cost, step: s, sentAt: e.now})
 	return true
 }
 
-// worthAsking returns the workers that the adviser should be asked about now:
-// good ones with room whose ticket has lapsed, or ones it was not asked about yet.
-func (e *Engine) worthAsking(s *stepRun, q *policy.Queue, r *room) []*worker {
+// workersToAsk returns the workers that the adviser should be asked about now: good ones
+// with free resources whose ticket has expired, or else ones it was not asked about yet.
+func (e *Engine) workersToAsk(s *stepRun, q *policy.Queue, round *placementRound) []*worker {
 	need := s.waiting
-	if valid, _, _ := e.ticketRoom(s, e.now); valid >= need || !s.spec.Gang && valid > 0 {
-		return nil // what can start does; the rest asks again later
+	if validTasks, _, _ := e.ticketCapacity(s, e.now); validTasks >= need || !s.spec.Gang && validTasks > 0 {
+		return nil // tasks can start with these tickets; the others ask in a later round
 	}
-	// A gang starts once it has all of its tickets, so those count that outlast the
-	// call that brings the rest.
-	by := e.now
+	// A gang starts once it has all of its tickets, so only tickets count that are still
+	// valid when the call for the missing ones returns.
+	validUntil := e.now
 	if s.spec.Gang {
-		by = by.Add(q.Advice.Of(min(need, mostAsked)))
+		validUntil = validUntil.Add(q.Advice.Of(min(need, maxWorkersPerCall)))
 	}
-	valid, room, lapsed := e.ticketRoom(s, by)
-	if valid+room >= need || !s.spec.Gang && room > 0 {
-		return firstWithRoom(s, lapsed, need-valid)
+	validTasks, lapsedTasks, lapsedWorkers := e.ticketCapacity(s, validUntil)
+	if validTasks+lapsedTasks >= need || !s.spec.Gang && lapsedTasks > 0 {
+		return largestFirst(s, lapsedWorkers, need-validTasks)
 	}
-	var fresh []*worker
-	for _, w := range s.eligible(r) {
-		if s.advice.asked[w.id] != w.life || w.life == 0 {
-			fresh = append(fresh, w)
+	var unasked []*worker
+	for _, w := range s.eligible(round) {
+		if s.advice.asked[w.id] != w.incarnation || w.incarnation == 0 {
+			unasked = append(unasked, w)
 		}
 	}
-	return e.bestToAsk(s, q, fresh)
+	return e.rankForAdvice(s, q, unasked)
 }
 
-// ticketRoom returns how many waiting tasks of s have room now on good workers whose
-// tickets hold until by, and on the other good workers, with the latter.
-func (e *Engine) ticketRoom(s *stepRun, by time.Time) (valid, lapsed int, on []*worker) {
-	for _, w := range e.goodFor(s) {
-		n := roomFor(s, w, w.free())
+// ticketCapacity returns how many waiting tasks of s fit now on good workers whose
+// tickets are valid at the given time, and on the good workers with expired tickets. It
+// also returns those of the latter that a task fits on.
+func (e *Engine) ticketCapacity(s *stepRun, until time.Time) (validTasks, lapsedTasks int, lapsedWorkers []*worker) {
+	for _, w := range e.goodWorkers(s) {
+		n := tasksThatFit(s, w, w.free())
 		switch {
 		case n == 0:
-		case e.ticketHolds(s.advice.good[w.id], by):
-			valid += n
+		case e.ticketValidAt(s.advice.good[w.id], until):
+			validTasks += n
 		default:
-			lapsed += n
-			on = append(on, w)
+			lapsedTasks += n
+			lapsedWorkers = append(lapsedWorkers, w)
 		}
 	}
-	return valid, lapsed, on
+	return validTasks, lapsedTasks, lapsedWorkers
 }
 
-// roomFor returns how many waiting tasks of s fit into free.
-func roomFor(s *stepRun, w *worker, free job.Resources) int {
+// tasksThatFit returns how many waiting tasks of s fit into the resources free of w.
+func tasksThatFit(s *stepRun, w *worker, free job.Resources) int {
 	n := s.charge.CountIn(free, s.waiting)
 	if s.spec.MaxPerWorker > 0 {
-		n = min(n, s.spec.MaxPerWorker-s.present(w))
+		n = min(n, s.spec.MaxPerWorker-s.tasksOn(w))
 	}
 	return max(0, n)
 }
 
-// firstWithRoom returns as many of workers as have room for need tasks, those with
-// the most room first.
-func firstWithRoom(s *stepRun, workers []*worker, need int) []*worker {
+// largestFirst returns enough of workers to hold need tasks, those that hold the most
+// tasks first, and spareRenewedTickets more.
+func largestFirst(s *stepRun, workers []*worker, need int) []*worker {
 	sort.SliceStable(workers, func(i, j int) bool {
-		return roomFor(s, workers[i], workers[i].free()) > roomFor(s, workers[j], workers[j].free())
+		return tasksThatFit(s, workers[i], workers[i].free()) > tasksThatFit(s, workers[j], workers[j].free())
 	})
 	for i, w := range workers {
-		need -= roomFor(s, w, w.free())
+		need -= tasksThatFit(s, w, w.free())
 		if need <= 0 {
-			workers = workers[:min(len(workers), i+1+spareLapsed)]
+			workers = workers[:min(len(workers), i+1+spareRenewedTickets)]
 			break
 		}
 	}
-	return workers[:min(len(workers), mostCalls*mostAsked)]
+	return workers[:min(len(workers), maxCalls*maxWorkersPerCall)]
 }
 
 const (
-	// mostAsked is how many workers the adviser takes in one call.
-	mostAsked = 100
-	// leastAsked is how many are asked about at least. A call costs far more by
-	// itself than by its workers.
-	leastAsked = 12
-	// spareLapsed is how many workers tickets are renewed for beyond those needed,
-	// as room may be taken while the adviser answers.
-	spareLapsed = 2
-	// askFactor is how much more room than needed is asked about. A gang waits for
-	// room on its good workers, so it asks about more of them.
-	askFactor     = 1.5
-	askFactorGang = 3
-	// laterRoom is the part of a worker's room in use that counts as room when
-	// workers are asked about ahead of time.
-	laterRoom = 0.3
+	// maxWorkersPerCall is the maximum number of workers that the adviser accepts in a
+	// call.
+	maxWorkersPerCall = 100
+	// minWorkersAsked is the minimum number of workers to ask about, as the fixed cost of
+	// a call is far higher than the cost per worker.
+	minWorkersAsked = 12
+	// spareRenewedTickets is the number of tickets to renew beyond those needed, as
+	// resources may be taken while the adviser answers.
+	spareRenewedTickets = 2
+	// askMultiplier is the capacity to ask about as a multiple of the capacity needed. A
+	// gang waits for resources on its good workers, so it asks about more workers.
+	askMultiplier     = 1.5
+	gangAskMultiplier = 3
+	// usedCapacityRatio is the part of a worker's capacity in use that counts as
+	// available when workers are asked about in advance.
+	usedCapacityRatio = 0.3
 )
 
-// bestToAsk returns the workers with the most room, as many as should hold enough
-// good ones. Steps that cannot wait for an answer later ask ahead of room.
-func (e *Engine) bestToAsk(s *stepRun, q *policy.Queue, fresh []*worker) []*worker {
+// rankForAdvice returns the workers with the most available capacity, as many as are
+// expected to include enough good ones. Steps that cannot wait for an answer later also
+// ask about workers whose capacity is in use.
+func (e *Engine) rankForAdvice(s *stepRun, q *policy.Queue, unasked []*worker) []*worker {
 	ahead := s.spec.Gang || q.Priority == 0 || q.Advice.Base >= advice.LongCall
-	score := make(map[*worker]float64, len(fresh))
-	ranked := fresh[:0]
-	for _, w := range fresh {
-		v := float64(roomFor(s, w, w.free()))
+	score := make(map[*worker]float64, len(unasked))
+	ranked := unasked[:0]
+	for _, w := range unasked {
+		capacity := float64(tasksThatFit(s, w, w.free()))
 		if ahead {
-			v += laterRoom * (float64(roomFor(s, w, w.capacity)) - v)
+			capacity += usedCapacityRatio * (float64(tasksThatFit(s, w, w.capacity)) - capacity)
 		}
-		if v <= 0 {
+		if capacity <= 0 {
 			continue
 		}
-		score[w] = v
+		score[w] = capacity
 		ranked = append(ranked, w)
 	}
 	sort.SliceStable(ranked, func(i, j int) bool { return score[ranked[i]] > score[ranked[j]] })
 	share := e.goodShare(q.Name)
-	want := float64(s.waiting) * askFactor
+	want := float64(s.waiting) * askMultiplier
 	if s.spec.Gang {
-		want = float64(s.waiting) * askFactorGang
+		want = float64(s.waiting) * gangAskMultiplier
 	}
-	n, have := 0, 0.0
-	most := mostAsked
+	n, expected := 0, 0.0
+	limit := maxWorkersPerCall
 	if s.spec.Gang {
-		most *= mostCalls
+		limit *= maxCalls
 	}
-	for n < len(ranked) && n < most && (have < want || n < leastAsked) {
-		have += share * score[ranked[n]]
+	for n < len(ranked) && n < limit && (expected < want || n < minWorkersAsked) {
+		expected += share * score[ranked[n]]
 		n++
 	}
 	return ranked[:n]
 }
 
-// firstGoodShare is the share of workers taken to be good before the adviser has
-// said anything about a queue.
-const firstGoodShare = 0.4
+// initialGoodShare is the assumed share of good workers for a queue before the adviser's
+// first answer.
+const initialGoodShare = 0.4
 
+// goodShare returns the expected share of good workers for a queue.
 func (e *Engine) goodShare(queue string) float64 {
-	if share, ok := e.shares[queue]; ok {
+	if share, ok := e.goodShares[queue]; ok {
 		return max(0.05, share)
 	}
-	return firstGoodShare
+	return initialGoodShare
 }
 
-func (e *Engine) chooseArm(cost time.Duration) *arm {
-	plain := make([]*advice.Arm, len(e.arms))
-	for i, a := range e.arms {
-		plain[i] = &a.Arm
+// chooseDelegate returns the delegate for a call of the given cost, or nil if none can
+// take it.
+func (e *Engine) chooseDelegate(cost time.Duration) *delegate {
+	loads := make([]*advice.Arm, len(e.delegates))
+	for i, a := range e.delegates {
+		loads[i] = &a.Arm
 	}
-	i := advice.Choose(plain, e.now, cost)
+	i := advice.Choose(loads, e.now, cost)
 	if i < 0 {
 		return nil
 	}
-	return e.arms[i]
+	return e.delegates[i]
 }
 
-// adviceRetry is the pause after a call to the adviser that failed.
-const adviceRetry = 30 * time.Millisecond
+// adviceRetryDelay is the delay after a failed call to the adviser.
+const adviceRetryDelay = 30 * time.Millisecond
 
 func (e *Engine) advised(ev *Advised) {
 	s := ev.Ask.step
-	s.advice.calls--
-	e.dirty = true
-	for _, a := range e.arms {
+	s.advice.callsInFlight--
+	e.needsPlacement = true
+	for _, a := range e.delegates {
 		if a.name == ev.Ask.Arm {
 			a.Done(e.now, ev.Ask.Cost, ev.OK)
 		}
 	}
 	if !ev.OK {
-		s.advice.retryAt = e.now.Add(adviceRetry)
-		e.log.Warn("no advice", "step", s.name, "job", s.ref.Job, "arm", ev.Ask.Arm, "workers", len(ev.Ask.Workers), "after_ms", e.age(ev.Ask.sent))
+		s.advice.retryAt = e.now.Add(adviceRetryDelay)
+		e.log.Warn("adviser call failed", "step", s.name, "job", s.ref.Job, "arm", ev.Ask.Arm, "workers", len(ev.Ask.Workers), "after_ms", e.msSince(ev.Ask.sentAt))
 		return
 	}
-	fresh := 0
+	unasked := 0
 	for _, id := range ev.Ask.Workers {
 		w := e.workers[id]
 		if w == nil {
 			continue
 		}
-		if s.advice.asked[id] != w.life {
-			fresh++
+		if s.advice.asked[id] != w.incarnation {
+			unasked++
 		}
-		s.advice.asked[id] = w.life
+		s.advice.asked[id] = w.incarnation
 		if t, good := ev.Good[id]; good {
-			s.known(id, ticket{value: t, life: w.life, until: e.now.Add(ev.TTL)})
+			s.markGood(id, ticket{value: t, incarnation: w.incarnation, validUntil: e.now.Add(ev.TTL)})
 		}
 	}
-	if fresh > 0 && s.waiting > 0 && ev.Ask.Cost >= advice.LongCall {
-		e.touch(s) // the next leader need not ask for this again
+	if unasked > 0 && s.waiting > 0 && ev.Ask.Cost >= advice.LongCall {
+		e.markDirty(s) // spares the next leader a repeat of this call
 	}
-	if fresh == len(ev.Ask.Workers) && fresh > 0 {
-		e.learnShare(s.job().queue, float64(len(ev.Good))/float64(fresh))
+	if unasked == len(ev.Ask.Workers) && unasked > 0 {
+		e.updateGoodShare(s.job().queue, float64(len(ev.Good))/float64(unasked))
 	}
-	e.log.Debug("advice", "step", s.name, "arm", ev.Ask.Arm, "asked", len(ev.Ask.Workers), "good", len(ev.Good), "after_ms", e.age(ev.Ask.sent))
+	e.log.Debug("adviser call done", "step", s.name, "arm", ev.Ask.Arm, "asked", len(ev.Ask.Workers), "good", len(ev.Good), "after_ms", e.msSince(ev.Ask.sentAt))
 }
 
-// shareWeight is the weight of one answer in the smoothed share of good workers.
-const shareWeight = 0.1
+// goodShareWeight is the weight of one answer in the smoothed share of good workers.
+const goodShareWeight = 0.1
 
-func (e *Engine) learnShare(queue string, share float64) {
-	if e.shares == nil {
-		e.shares = make(map[string]float64)
+// updateGoodShare updates the smoothed share of good workers of a queue.
+func (e *Engine) updateGoodShare(queue string, share float64) {
+	if e.goodShares == nil {
+		e.goodShares = make(map[string]float64)
 	}
-	old, known := e.shares[queue]
+	old, known := e.goodShares[queue]
 	if !known {
-		old = firstGoodShare
+		old = initialGoodShare
 	}
-	e.shares[queue] = old + shareWeight*(share-old)
+	e.goodShares[queue] = old + goodShareWeight*(share-old)
 }
 
-func (e *Engine) armsChanged(names []string) {
-	known := make(map[string]*arm, len(e.arms))
-	for _, a := range e.arms {
+func (e *Engine) delegatesChanged(names []string) {
+	known := make(map[string]*delegate, len(e.delegates))
+	for _, a := range e.delegates {
 		known[a.name] = a
 	}
-	arms := make([]*arm, 0, len(names))
-	for _, n := range names {
-		a := known[n]
+	delegates := make([]*delegate, 0, len(names))
+	for _, name := range names {
+		a := known[name]
 		if a == nil {
-			a = &arm{name: n}
-			e.log.Info("arm joined", "arm", n)
+			a = &delegate{name: name}
+			e.log.Info("delegate added", "arm", name)
 		}
-		arms = append(arms, a)
+		delegates = append(delegates, a)
 	}
-	e.arms = arms
-	e.dirty = true
+	e.delegates = delegates
+	e.needsPlacement = true
 }
--- a/internal/cell/engine/backlog.go
+++ b/internal/cell/engine/backlog.go
@@ -13,54 +13,56 @@
 	"pollenbend/internal/cell/policy"
 )
 
-// demand is what waits for room, and what arrives, at one priority.
+// demand is the waiting and the arriving work of one priority.
 type demand struct {
-	cpu   int64   // of the tasks that wait and can end in time, in thousandths of a core
-	fresh int64   // the part of cpu that no round of placement has had a chance to place
-	work  float64 // core-seconds of the tasks that wait
-	cores float64 // averaged rate at which work arrives
-	at    time.Time
+	waitingCPU    int64   // CPU of the waiting tasks that can still end in time, in thousandths of a core
+	untriedCPU    int64   // part of waitingCPU that no placement round has tried to place
+	waitingWork   float64 // core-seconds of those tasks
+	arrivalRate   float64 // average rate of arriving work, in cores
+	arrivalRateAt time.Time
 }
 
-// arrivalSpan is the time over which the rate of arriving work is averaged: a few
-// times the length of a task.
-const arrivalSpan = 10 * time.Second
+// arrivalWindow is the time constant of the average rate of arriving work: a few times
+// the runtime of a task.
+const arrivalWindow = 10 * time.Second
 
+// rate returns the average rate of arriving work at the given time, in cores.
 func (d *demand) rate(now time.Time) float64 {
-	return d.cores * math.Exp(-now.Sub(d.at).Seconds()/arrivalSpan.Seconds())
+	return d.arrivalRate * math.Exp(-now.Sub(d.arrivalRateAt).Seconds()/arrivalWindow.Seconds())
 }
 
+// demandAt returns the demand of a priority and creates it on first use.
 func (e *Engine) demandAt(priority int) *demand {
 	d := e.demands[priority]
 	if d == nil {
-		d = &demand{at: e.now}
+		d = &demand{arrivalRateAt: e.now}
 		e.demands[priority] = d
 	}
 	return d
 }
 
-// arrived counts the work of an occurrence that has become due.
-func (e *Engine) arrived(o *occurrence) {
+// countArrival adds the work of an occurrence that has become due to the demand.
+func (e *Engine) countArrival(o *occurrence) {
 	q := e.queueOf(o.job)
-	if q == nil || o.counted {
+	if q == nil || o.arrivalCounted {
 		return
 	}
-	o.counted = true
+	o.arrivalCounted = true
 	total := 0.0
 	for _, s := range o.steps {
 		if !s.spec.LongRunning {
-			total += e.workOf(s) * float64(s.left)
+			total += e.workOf(s) * float64(s.remaining)
 		}
 	}
 	d := e.demandAt(q.Priority)
-	d.cores = d.rate(e.now) + total/arrivalSpan.Seconds()
-	d.at = e.now
-	if !o.job.overdue {
-		d.work += total
+	d.arrivalRate = d.rate(e.now) + total/arrivalWindow.Seconds()
+	d.arrivalRateAt = e.now
+	if !o.job.overEntitlement {
+		d.waitingWork += total
 		for _, s := range o.steps {
 			if len(s.spec.DependsOn) == 0 {
-				d.cpu += int64(s.left) * s.charge.CPU
-				d.fresh += int64(s.left) * s.charge.CPU
+				d.waitingCPU += int64(s.remaining) * s.charge.CPU
+				d.untriedCPU += int64(s.remaining) * s.charge.CPU
 			}
 		}
 	}
@@ -68,83 +70,82 @@
 
 // workOf returns the expected core-seconds of one task of s.
 func (e *Engine) workOf(s *stepRun) float64 {
-	return float64(s.charge.CPU) / 1000 * e.pace.expect(s.job().queue, s.spec.Estimate).Seconds()
+	return float64(s.charge.CPU) / 1000 * e.estimator.expect(s.job().queue, s.spec.Estimate).Seconds()
 }
 
-// measureEvery is how long the measure of what waits holds. Jobs accepted meanwhile
-// are added to it.
-const measureEvery = 25 * time.Millisecond
+// demandMeasureInterval is the minimum interval between two measurements of the waiting
+// work. Jobs accepted in between are added to the last one.
+const demandMeasureInterval = 25 * time.Millisecond
 
-// measureWaiting works out what waits for room at each priority and can still end in
-// time.
-func (e *Engine) measureWaiting() {
-	if e.now.Sub(e.measured) < measureEvery {
+// measureDemand measures, by priority, the waiting work that can still end in time.
+func (e *Engine) measureDemand() {
+	if e.now.Sub(e.demandMeasuredAt) < demandMeasureInterval {
 		return
 	}
-	e.measured = e.now
+	e.demandMeasuredAt = e.now
 	for _, d := range e.demands {
-		d.cpu, d.fresh, d.work = 0, 0, 0
+		d.waitingCPU, d.untriedCPU, d.waitingWork = 0, 0, 0
 	}
-	for _, s := range e.open {
+	for _, s := range e.openSteps {
 		q := e.queueOf(s.job())
-		if q == nil || !s.open() || s.job().overdue {
+		if q == nil || !s.open() || s.job().overEntitlement {
 			continue
 		}
-		if ordering.BandOf(e.orderOf(s), e.now) != ordering.InTime {
-			continue // it is served after what can still end in time
+		if ordering.BandOf(e.orderingStep(s), e.now) != ordering.InTime {
+			continue // steps that can still end in time are placed before it
 		}
 		d := e.demandAt(q.Priority)
-		d.cpu += int64(s.waiting) * s.charge.CPU
-		if !s.tried || s.advice.first() {
-			d.fresh += int64(s.waiting) * s.charge.CPU
+		d.waitingCPU += int64(s.waiting) * s.charge.CPU
+		if !s.placementTried || s.advice.awaitsFirstAnswer() {
+			d.untriedCPU += int64(s.waiting) * s.charge.CPU
 		}
-		d.work += float64(s.waiting) * e.workOf(s)
+		d.waitingWork += float64(s.waiting) * e.workOf(s)
 	}
 }
 
-// loadFor returns what a job of q meets now that starts with tasks of first.
+// loadFor returns the present load for a job of q that starts with tasks of first.
 //
-// Open room is what these tasks fit into now and that would stay unused without them.
-// What was looked at in a round of placement and still waits could not take it, for
-// want of advice or of room for a whole gang, so only what was not looked at yet is
-// taken off.
+// Load.Open is the capacity that these tasks fit into now and that would stay unused
+// without them. Steps that a placement round tried and left waiting could not use it, for
+// lack of advice or of resources for a whole gang, so only the CPU of untried steps is
+// subtracted.
 func (e *Engine) loadFor(q *policy.Queue, first *job.Step) admission.Load {
-	e.measureWaiting()
-	l := admission.Load{}
-	charge, fit := first.Charge(), 0
-	for _, w := range e.order {
+	e.measureDemand()
+	load := admission.Load{}
+	charge, fits := first.Charge(), 0
+	for _, w := range e.workerList {
 		if w.service != q.Service {
 			continue
 		}
-		if w.listed && !w.draining && w.silent == 0 && !w.health.quarantined(e.now) {
-			l.Capacity += float64(w.capacity.CPU) / 1000
-			l.Free += float64(w.capacity.CPU-w.used.CPU) / 1000
+		if w.listed && !w.draining && w.missedRenewals == 0 && !w.health.quarantined(e.now) {
+			load.Capacity += float64(w.capacity.CPU) / 1000
+			load.Free += float64(w.capacity.CPU-w.used.CPU) / 1000
 		}
-		if w.usable(e.now) && w.mayHold(first) {
-			fit += charge.CountIn(w.free(), first.Count)
+		if w.usable(e.now) && w.canHold(first) {
+			fits += charge.CountIn(w.free(), first.Count)
 		}
 	}
-	l.Open = float64(fit) * float64(charge.CPU) / 1000
+	load.Open = float64(fits) * float64(charge.CPU) / 1000
 	if q.Advice != nil {
-		l.Open *= e.goodShare(q.Name)
+		load.Open *= e.goodShare(q.Name)
 	}
 	for priority, d := range e.demands {
 		if priority <= q.Priority {
-			l.Waiting += float64(d.cpu) / 1000
-			l.Ahead += d.work
-			l.Open -= float64(d.fresh) / 1000
+			load.Waiting += float64(d.waitingCPU) / 1000
+			load.Ahead += d.waitingWork
+			load.Open -= float64(d.untriedCPU) / 1000
 		}
 		if priority < q.Priority {
-			l.Higher += d.rate(e.now)
+			load.Higher += d.rate(e.now)
 		}
 	}
-	return l
+	return load
 }
 
-// widest returns the step of a job that asks for the most cores of those that start
-// at once.
+// widest returns the step with the highest total CPU among the steps of a job that
+// depend on no other.
 func widest(spec *job.Spec) *job.Step {
-	best := &spec.Steps[0] // no step depends on a later one
+	best := &spec.Steps[0] // steps depend only on earlier ones
 	for i := range spec.Steps {
 		s := &spec.Steps[i]
 		if len(s.DependsOn) == 0 && s.Charge().CPU*int64(s.Count) > best.Charge().CPU*int64(best.Count) {
@@ -154,19 +155,19 @@
 	return best
 }
 
-// tellLoadEvery is the pause between two lines on the load of the cell.
-const tellLoadEvery = 2 * time.Second
+// loadLogInterval is the interval between two log lines about the load of the cell.
+const loadLogInterval = 2 * time.Second
 
-// tellLoad logs what is free and what waits.
-func (e *Engine) tellLoad() {
-	if e.now.Sub(e.loadToldAt) < tellLoadEvery {
+// logLoad logs the capacity in use and the waiting work.
+func (e *Engine) logLoad() {
+	if e.now.Sub(e.loadLoggedAt) < loadLogInterval {
 		return
 	}
-	e.loadToldAt = e.now
-	e.measureWaiting()
+	e.loadLoggedAt = e.now
+	e.measureDemand()
 	listed, usable, runs := 0, 0, 0
 	var capacity, used int64
-	for _, w := range e.order {
+	for _, w := range e.workerList {
 		runs += len(w.runs)
 		if w.listed {
 			listed++
@@ -177,11 +178,11 @@
 			used += w.used.CPU
 		}
 	}
-	attrs := []any{"jobs", len(e.jobs), "open_steps", len(e.open), "runs", runs, "listed", listed, "usable", usable,
-		"cpu", capacity, "cpu_used", used, "round_us", e.planTook.Microseconds(), "arms", len(e.arms)}
+	attrs := []any{"jobs", len(e.jobs), "open_steps", len(e.openSteps), "runs", runs, "listed", listed, "usable", usable,
+		"cpu", capacity, "cpu_used", used, "round_us", e.placementTook.Microseconds(), "arms", len(e.delegates)}
 	for _, priority := range slices.Sorted(maps.Keys(e.demands)) {
 		d := e.demands[priority]
-		attrs = append(attrs, fmt.Sprintf("waiting_cpu_%d", priority), d.cpu, fmt.Sprintf("arriving_cores_%d", priority), int(d.rate(e.now)))
+		attrs = append(attrs, fmt.Sprintf("waiting_cpu_%d", priority), d.waitingCPU, fmt.Sprintf("arriving_cores_%d", priority), int(d.rate(e.now)))
 	}
 	e.log.Info("load", attrs...)
 }
--- /dev/null
+++ b/internal/cell/engine/commands.go
@@ -0,0 +1,261 @@
+package engine
+
+import (
+	"time"
+)
+
+// planRun reserves the resources for a run of t on w and writes its record. The start
+// command is sent once the record is stored.
+func (e *Engine) planRun(t *task, w *worker, number int, tkt ticket) {
+	s := t.step
+	if !t.hasRuns() {
+		s.waiting--
+	}
+	t.lastRun = number
+	s.lastGangRun = max(s.lastGangRun, number)
+	r := &run{task: t, worker: w, incarnation: w.incarnation, number: number, charge: s.charge, ticket: tkt, phase: planned}
+	t.runs = append(t.runs, r)
+	e.reserve(r)
+	e.markDirty(s)
+	e.afterAppend(func() { e.sendStart(r) })
+}
+
+// reserve counts r against its worker and its team.
+func (e *Engine) reserve(r *run) {
+	r.worker.runs[r] = struct{}{}
+	r.worker.used = r.worker.used.Add(r.charge)
+	team := r.task.step.job().team
+	e.usage[team] = e.usage[team].Add(r.task.step.spec.Need)
+}
+
+// sendStart sends the start command for a run whose record is stored. It ends the run
+// instead if the run is no longer wanted or possible.
+func (e *Engine) sendStart(r *run) {
+	if r.ended {
+		return
+	}
+	w, t := r.worker, r.task
+	if r.phase == stopping || w.incarnation != r.incarnation || !w.reported || t.step.job().state.Final() || t.done {
+		e.endRun(r, EndedStopped, "", "start not sent")
+		return
+	}
+	if r.ticket.value != "" && !e.now.Before(r.ticket.validUntil) {
+		e.endRun(r, EndedStopped, "", "ticket expired before the record was stored")
+		return
+	}
+	if w.draining && !w.leavesAt.IsZero() && !t.step.spec.Gang {
+		e.endRun(r, EndedStopped, "", "worker is draining")
+		return
+	}
+	r.phase = starting
+	r.startSent, r.startSentAt = true, e.now
+	w.nextRenewal = e.now // an idle worker is renewed rarely
+	e.emitStart(r, firstStartTimeout)
+}
+
+const (
+	// firstStartTimeout is the timeout of the first start command for a run. A healthy
+	// worker answers within a few milliseconds, and repeating the command is safe: a
+	// worker starts a run number at most once.
+	firstStartTimeout = 250 * time.Millisecond
+	// secondStartTimeout is the timeout of the second start command for a run.
+	secondStartTimeout = 700 * time.Millisecond
+	// stopTimeout is the timeout of a stop command. It is sent again until it is
+	// confirmed.
+	stopTimeout = 300 * time.Millisecond
+)
+
+func (e *Engine) emitStart(r *run, timeout time.Duration) {
+	w, t := r.worker, r.task
+	r.startAttempts++
+	e.emit(&Start{
+		Worker: w.id, Address: w.address, Life: r.incarnation, Task: t.name, Run: r.number,
+		Payload: t.step.job().spec.Payload, Deadline: w.extendLease(e.cfg.Lease, e.now),
+		Checkpoint: t.checkpoint, Ticket: r.ticket.value, Timeout: timeout, run: r,
+	})
+}
+
+// retryStart sends the start command for r a second time if the run is still wanted
+// and the worker would still accept it. It reports whether it did.
+func (e *Engine) retryStart(r *run) bool {
+	w, t := r.worker, r.task
+	if r.startAttempts > 1 || r.phase != starting || w.incarnation != r.incarnation || !w.listed || t.done || t.step.job().state.Final() {
+		return false
+	}
+	if r.ticket.value != "" && !e.now.Before(r.ticket.validUntil) {
+		return false
+	}
+	e.emitStart(r, secondStartTimeout)
+	return true
+}
+
+func (e *Engine) startAnswered(ev *StartAnswered) {
+	r := ev.Start.run
+	w := r.worker
+	if ev.Life != 0 && w.incarnation != 0 && ev.Life > w.incarnation {
+		e.newIncarnation(w, ev.Life, "answer to a start")
+	}
+	if ev.Refusal != Unknown && ev.Clock > 0 {
+		w.noteClock(ev.Clock, e.now)
+	}
+	if r.ended {
+		return
+	}
+	t := r.task
+	if ev.Refusal == Accepted {
+		if r.phase == starting {
+			r.phase = running
+		}
+		e.markStarted(t.step.job())
+		e.log.Info("task started", "job", t.step.job().id, "task", t.name, "run", r.number, "worker", w.id,
+			"order_ms", e.msSince(r.startSentAt), "ready_ms", e.msSince(t.step.readyAt), "checkpoint", t.checkpoint != "")
+		if r.phase == stopping {
+			e.sendStop(r)
+		}
+		return
+	}
+	e.log.Warn("start not confirmed", "job", t.step.job().id, "task", t.name, "run", r.number, "worker", w.id,
+		"reason", ev.Refusal.String(), "orders", r.startAttempts, "order_ms", e.msSince(r.startSentAt))
+	switch ev.Refusal {
+	case Fenced:
+		e.stepDown("worker " + w.id + " has seen a newer leader")
+	case Unknown:
+		if e.retryStart(r) {
+			return
+		}
+		w.health.failures++
+		if r.phase == starting {
+			r.phase = unconfirmed
+		}
+		e.stop(r, "no answer to the start")
+	case Unhealthy:
+		w.health.quarantine(e.now)
+		e.endRun(r, EndedStopped, "", "worker refuses work")
+	case BadTicket:
+		t.step.invalidateTicket(w.id)
+		e.endRun(r, EndedStopped, "", "ticket refused")
+	case OtherLife:
+		e.endRun(r, EndedLapsed, "", "worker restarted")
+		w.reported = false
+		w.nextRenewal = e.now
+	case OldRun:
+		// A run of this number or a higher one has ended on the worker. After two start
+		// commands it may be this run, whose end the worker will report.
+		if r.startAttempts > 1 {
+			e.stop(r, "run number already used")
+			return
+		}
+		e.endRun(r, EndedStopped, "", "run number already used")
+	default:
+		e.endRun(r, EndedStopped, "", ev.Refusal.String())
+	}
+}
+
+// stop requests the end of a run for the given reason. The run keeps its worker's
+// resources until its end is confirmed.
+func (e *Engine) stop(r *run, why string) {
+	if r.ended || r.phase == stopping {
+		return
+	}
+	r.phase = stopping
+	r.stopReason = why
+	if !r.startSent {
+		return // the start command was not sent; sendStart ends the run
+	}
+	e.sendStop(r)
+}
+
+// sendStop sends a stop command unless one is under way.
+func (e *Engine) sendStop(r *run) {
+	if r.stopInFlight || r.worker.address == "" {
+		return
+	}
+	r.stopInFlight = true
+	r.stopSentAt = e.now
+	e.emit(&Stop{Worker: r.worker.id, Address: r.worker.address, Life: r.incarnation, Task: r.task.name, Run: r.number, Timeout: stopTimeout, run: r})
+}
+
+func (e *Engine) stopAnswered(ev *StopAnswered) {
+	r := ev.Stop.run
+	if r == nil {
+		return // an unknown run; the next renewal shows whether it has stopped
+	}
+	r.stopInFlight = false
+	if r.ended {
+		return
+	}
+	w := r.worker
+	switch ev.Refusal {
+	case Accepted, OldRun: // after a newer run, the worker does not have this one either
+		if r.stopConfirmedAt.IsZero() {
+			r.stopConfirmedAt = e.now
+		}
+		w.renewWithoutWait = true
+		w.nextRenewal = e.now
+	case Fenced:
+		e.stepDown("worker " + w.id + " has seen a newer leader")
+	case OtherLife:
+		e.endRun(r, EndedLapsed, "", "worker restarted")
+		w.reported = false
+		w.nextRenewal = e.now
+	}
+}
+
+// retryStops repeats the stop commands that got no answer for longer than StopRetry.
+func (e *Engine) retryStops() {
+	if e.now.Sub(e.stopsRetriedAt) < e.cfg.StopRetry/8 {
+		return
+	}
+	e.stopsRetriedAt = e.now
+	for _, w := range e.workerList {
+		if len(w.runs) == 0 {
+			continue
+		}
+		for r := range w.runs {
+			if r.phase == stopping && !r.stopInFlight && r.startSent && r.stopConfirmedAt.IsZero() && e.now.Sub(r.stopSentAt) > e.cfg.StopRetry {
+				e.sendStop(r)
+			}
+		}
+	}
+}
+
+// observeRuntime updates the runtime estimates with a successful run.
+func (e *Engine) observeRuntime(r *run) {
+	if r.startSentAt.IsZero() || r.restored {
+		return
+	}
+	took := e.now.Sub(r.startSentAt)
+	estimate := r.task.step.spec.Estimate
+	if estimate <= 0 || took <= 0 {
+		return
+	}
+	e.estimator.observe(r.task.step.job().queue, float64(took)/float64(estimate))
+}
+
+// runtimeEstimator keeps, by queue, the smoothed ratio of the runtime of tasks to their
+// estimates.
+type runtimeEstimator struct{ ratios map[string]float64 }
+
+// runtimeRatioWeight is the weight of one run in the smoothed ratio.
+const runtimeRatioWeight = 0.05
+
+// observe adds the ratio of one run.
+func (p *runtimeEstimator) observe(queue string, ratio float64) {
+	if p.ratios == nil {
+		p.ratios = make(map[string]float64)
+	}
+	old, known := p.ratios[queue]
+	if !known {
+		p.ratios[queue] = ratio
+		return
+	}
+	p.ratios[queue] = old + runtimeRatioWeight*(ratio-old)
+}
+
+// expect returns the expected runtime of a task with the given estimate.
+func (p *runtimeEstimator) expect(queue string, estimate time.Duration) time.Duration {
+	if ratio, known := p.ratios[queue]; known {
+		return time.Duration(float64(estimate) * ratio)
+	}
+	return estimate
+}
--- a/internal/cell/engine/ends.go
+++ b/internal/cell/engine/ends.go
@@ -4,7 +4,7 @@
 	"pollenbend/internal/cell/record"
 )
 
-// taskDone notes that t has ended well.
+// taskDone records that t has succeeded. With one member of a gang, all of them have.
 func (e *Engine) taskDone(t *task) {
 	s := t.step
 	if t.done || s.spec.LongRunning {
@@ -18,47 +18,49 @@
 		if m.done {
 			continue
 		}
-		if !m.live() {
+		if !m.hasRuns() {
 			s.waiting--
 		}
 		m.done = true
-		s.left--
+		s.remaining--
 		for _, r := range m.runs {
 			if !s.spec.Gang && r.phase != stopping {
-				e.stop(r, "another copy is done")
+				e.stop(r, "another run of the task is done")
 			}
 		}
 	}
-	e.touch(s)
-	e.dirty = true
-	if s.left == 0 {
+	e.markDirty(s)
+	e.needsPlacement = true
+	if s.remaining == 0 {
 		e.stepDone(s)
 	}
 }
 
+// stepDone records that all tasks of s are done.
 func (e *Engine) stepDone(s *stepRun) {
 	o := s.occ
-	o.left--
-	e.log.Debug("step done", "step", s.name, "since_ready_ms", e.age(s.readyAt))
-	if o.left > 0 {
-		e.openSteps(o)
+	o.remaining--
+	e.log.Debug("step done", "step", s.name, "since_ready_ms", e.msSince(s.readyAt))
+	if o.remaining > 0 {
+		e.openReadySteps(o)
 		return
 	}
 	j := o.job
-	j.left--
-	if j.left == 0 && !j.state.Final() {
-		e.finish(j, record.Completed)
+	j.remaining--
+	if j.remaining == 0 && !j.state.Final() {
+		e.finishJob(j, record.Completed)
 	}
 }
 
-// endRun takes a run off its worker and decides what follows for its task.
+// endRun removes a run from its worker and decides what follows for its task. source
+// says for the log how the end became known.
 func (e *Engine) endRun(r *run, how How, checkpoint, source string) {
-	if r.gone {
+	if r.ended {
 		return
 	}
 	t, s := r.task, r.task.step
 	j := s.job()
-	e.dropRun(r)
+	e.removeRun(r)
 	if checkpoint != "" {
 		t.checkpoint = checkpoint
 		if s.spec.Gang {
@@ -68,32 +70,33 @@
 		}
 	}
 	what := "run ended"
-	if !r.sent {
-		what = "run dropped" // no order has gone out
+	if !r.startSent {
+		what = "run dropped" // no start command was sent
 	}
 	e.log.Info(what, "job", j.id, "task", t.name, "run", r.number, "worker", r.worker.id, "how", how.String(),
-		"source", source, "ran_ms", e.age(r.begun), "percent", r.percent, "stop_reason", r.stopWhy)
-	e.judgeWorker(r, how)
-	e.touch(s)
-	e.dirty = true
+		"source", source, "ran_ms", e.msSince(r.startSentAt), "percent", r.percent, "stop_reason", r.stopReason)
+	e.updateHealth(r, how)
+	e.markDirty(s)
+	e.needsPlacement = true
 	if j.state.Final() {
-		e.compact(j)
+		e.compactJob(j)
 		return
 	}
 	switch how {
 	case EndedDone:
-		e.observe(r)
+		e.observeRuntime(r)
 		e.taskDone(t)
 	case EndedFailed:
 		e.taskFailed(t, r)
 	}
 	if s.spec.Gang && !t.done && how != EndedDone {
-		e.collapse(s, r.number)
+		e.stopGangRun(s, r.number)
 	}
 }
 
-func (e *Engine) dropRun(r *run) {
-	r.gone = true
+// removeRun removes a run from its task and its worker and releases its resources.
+func (e *Engine) removeRun(r *run) {
+	r.ended = true
 	t := r.task
 	for i, other := range t.runs {
 		if other == r {
@@ -105,51 +108,52 @@
 	r.worker.used = r.worker.used.Sub(r.charge)
 	team := t.step.job().team
 	e.usage[team] = e.usage[team].Sub(t.step.spec.Need)
-	if !t.done && !t.live() {
+	if !t.done && !t.hasRuns() {
 		t.step.waiting++
 		e.reopen(t.step)
 	}
 }
 
-// reopen lists s again among the steps with tasks to place.
+// reopen adds s to the open steps again.
 func (e *Engine) reopen(s *stepRun) {
 	if !s.ready || s.job().state.Final() {
 		return
 	}
-	for _, o := range e.open {
+	for _, o := range e.openSteps {
 		if o == s {
 			return
 		}
 	}
-	e.open = append(e.open, s)
+	e.openSteps = append(e.openSteps, s)
 }
 
+// taskFailed counts a failure of t, and fails the job when its attempts are used up.
 func (e *Engine) taskFailed(t *task, r *run) {
 	s := t.step
 	if s.spec.LongRunning {
 		return
 	}
 	j := s.job()
-	attempts := 1
+	maxAttempts := 1
 	if q := e.queueOf(j); q != nil {
-		attempts = max(1, q.Attempts)
+		maxAttempts = max(1, q.Attempts)
 	}
 	t.failures++
-	t.lastWorker = r.worker.id
+	t.lastFailedOn = r.worker.id
 	if s.spec.Gang {
-		// A gang fails as a whole, once for each of its runs.
+		// A gang fails as a whole, once per run of the gang.
 		for _, m := range s.tasks {
 			m.failures = max(m.failures, t.failures)
 		}
 	}
-	if t.failures >= attempts && !t.done {
-		e.log.Info("job failed", "job", j.id, "task", t.name, "failures", t.failures, "attempts", attempts)
-		e.finish(j, record.Failed)
+	if t.failures >= maxAttempts && !t.done {
+		e.log.Info("job failed", "job", j.id, "task", t.name, "failures", t.failures, "attempts", maxAttempts)
+		e.finishJob(j, record.Failed)
 	}
 }
 
-// collapse stops what is left of a gang's run after one member ended early.
-func (e *Engine) collapse(s *stepRun, number int) {
+// stopGangRun stops the remaining members of a gang's run after one member ended early.
+func (e *Engine) stopGangRun(s *stepRun, number int) {
 	for _, m := range s.tasks {
 		for _, r := range m.runs {
 			if r.number == number && r.phase != stopping {
@@ -159,18 +163,18 @@
 	}
 }
 
-// judgeWorker keeps the record of how well a worker runs tasks.
-func (e *Engine) judgeWorker(r *run, how How) {
+// updateHealth updates the health of a worker with the outcome of a run.
+func (e *Engine) updateHealth(r *run, how How) {
 	w := r.worker
 	switch how {
 	case EndedDone:
 		w.health.succeeded()
 	case EndedFailed:
-		if r.task.failures > 0 && r.task.lastWorker != w.id {
-			return // it failed elsewhere too: the task is more likely at fault
+		if r.task.failures > 0 && r.task.lastFailedOn != w.id {
+			return // the task failed on another worker too, so the task is the likely cause
 		}
 		if w.health.failed(e.now) {
-			e.log.Warn("worker under quarantine", "worker", w.id, "failures", w.health.failures, "for_ms", w.health.penalty.Milliseconds())
+			e.log.Warn("worker quarantined", "worker", w.id, "failures", w.health.failures, "for_ms", w.health.quarantineTime.Milliseconds())
 		}
 	}
 }
--- a/internal/cell/engine/engine.go
+++ b/internal/cell/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine decides for a whole cell: which jobs are accepted, where and
-// when their tasks run, and what callers are told. It is a state machine without
-// I/O: events go in with the time, actions come out. What has to outlive the
-// process leaves it as records, and nothing that depends on a record is done or
-// said before the record is stored.
+// Package engine schedules the jobs of a cell. It decides which jobs are accepted,
+// where and when their tasks run, and what callers are answered. It is a state
+// machine without I/O: Handle takes events and the time, Settle returns actions.
+// State that has to survive the process is written as records, and no action or
+// answer that depends on a record is issued before the record is stored.
 package engine
 
 import (
@@ -14,98 +14,100 @@
 	"pollenbend/internal/cell/policy"
 )
 
-// Config holds the bounds that the platform and the settings give.
+// Config holds the limits and intervals that the platform and the settings define.
 type Config struct {
-	Term          int64            // number of this leadership, higher than all before
-	Lease         time.Duration    // how long runs go on without contact to the leader
-	MaxLease      time.Duration    // longest lease that workers grant
-	LapseMargin   time.Duration    // added to a lease before its runs count as gone
-	StopTime      time.Duration    // longest time that a stop takes
-	GangWait      time.Duration    // how long members of a gang wait for each other
-	FarPenalty    float64          // how many times as long a task takes away from its data
-	LookWait      time.Duration    // how long a worker may hold back the answer to a look
-	LookRetry     time.Duration    // pause after a look without an answer
-	IdleLook      time.Duration    // pause between looks at a worker that runs nothing
-	UnlistedLooks time.Duration    // how long an idle worker is looked at after it left the directory
-	ForgetWorker  time.Duration    // when an idle worker that left the directory is dropped
-	StopRetry     time.Duration    // pause between stops of the same run
-	SettleStart   time.Duration    // when a confirmed run has to be in the reports
-	Planning      time.Duration    // least time between two rounds of placement
-	KeepEnded     time.Duration    // how long the state of a job that is over can be asked for
-	Clock         func() time.Time // measures how long a round of placement takes
+	Term          int64            // number of this leader's term, higher than all earlier ones
+	Lease         time.Duration    // how long runs continue without contact to the leader
+	MaxLease      time.Duration    // maximum lease that workers grant
+	LapseMargin   time.Duration    // time after the end of a lease until its runs count as ended
+	StopTime      time.Duration    // maximum time that a stop takes
+	GangWait      time.Duration    // maximum time that members of a gang wait for each other
+	FarPenalty    float64          // how many times as long a task takes far from its data
+	LookWait      time.Duration    // maximum time that a worker may delay its answer to a renewal
+	LookRetry     time.Duration    // delay after a renewal without an answer
+	IdleLook      time.Duration    // interval between renewals of an idle worker
+	UnlistedLooks time.Duration    // how long an idle worker is renewed after it left the directory
+	ForgetWorker  time.Duration    // time after which an idle worker that left the directory is dropped
+	StopRetry     time.Duration    // interval between stop commands for the same run
+	SettleStart   time.Duration    // time after its start from which a confirmed run must be in reports
+	Planning      time.Duration    // minimum interval between two placement rounds
+	KeepEnded     time.Duration    // how long the state of an ended job is kept
+	Clock         func() time.Time // measures the duration of a placement round
 }
 
-// replanEvery is the longest pause between rounds of placement while steps wait:
-// tickets lapse and pauses end without an event.
-const replanEvery = 40 * time.Millisecond
+// maxPlacementInterval is the maximum interval between placement rounds while steps
+// wait. Tickets expire and retry delays end without an event.
+const maxPlacementInterval = 40 * time.Millisecond
 
-// planningRest is how much longer than a round of placement the pause after it is,
-// so that placement takes a bounded part of the processor however long the queue.
-const planningRest = 8
+// placementPauseMultiplier is the minimum interval between the starts of placement
+// rounds as a multiple of the duration of the last round. It bounds the share of CPU
+// time that placement takes, whatever the length of the queue.
+const placementPauseMultiplier = 8
 
-// Engine is the state of a cell. It is used by one goroutine.
+// Engine is the scheduling state of a cell. It is not safe for concurrent use.
 type Engine struct {
 	cfg    Config
 	log    *slog.Logger
 	policy *policy.Policy
 	wall   func() int64 // Unix milliseconds
 
-	now     time.Time
-	started time.Time
-	deposed bool
-	actions []any
-
-	jobs    map[string]*jobState
-	open    []*stepRun // steps whose turn has come and that have tasks to place
-	timed   []*jobState
-	ended   []*jobState // in the order in which they ended
-	workers map[string]*worker
-	order   []*worker // in the order in which they were found
-	strays  map[string]time.Time
-	usage   map[string]job.Resources // by team
-	queued  map[string]int           // accepted jobs of a queue that have not begun
-	arms    []*arm
-	pace    pace
-	owed    map[string]*allowance
-	demands map[int]*demand    // by priority
-	shares  map[string]float64 // of workers that the adviser finds good, by queue
-
-	dirty      bool // placement may find something to do
-	planned    time.Time
-	planTook   time.Duration
-	watched    time.Time // when stragglers were looked for last
-	measured   time.Time // when what waits was measured last
-	toldAt     time.Time // when the log said last why a step waits
-	loadToldAt time.Time // when the log said last what the load is
-	batch      *Append
-	inFlight   bool
-	stopsTried time.Time     // when stops without an answer were sent again last
-	storing    time.Duration // smoothed time until an append is stored
-	sentAt     time.Time     // when the append in flight was sent
-	storeDown  time.Time     // since when the store refuses appends, zero if it does not
-	retryAt    time.Time     // when the next append may be sent
-	dirtyStep  map[*stepRun]struct{}
-	dirtyList  []*stepRun
+	now         time.Time
+	started     time.Time
+	steppedDown bool
+	actions     []any
+
+	jobs            map[string]*jobState
+	openSteps       []*stepRun // ready steps that have tasks to place
+	scheduledJobs   []*jobState
+	endedJobs       []*jobState // ordered by the time at which they ended
+	workers         map[string]*worker
+	workerList      []*worker // in the order in which they were found
+	unknownRunStops map[string]time.Time
+	usage           map[string]job.Resources // by team
+	queued          map[string]int           // accepted jobs that have not started, by queue
+	delegates       []*delegate
+	estimator       runtimeEstimator
+	entitlements    map[string]*tokenBucket
+	demands         map[int]*demand    // by priority
+	goodShares      map[string]float64 // share of workers that the adviser finds good, by queue
+
+	needsPlacement   bool // placement may have work to do
+	placedAt         time.Time
+	placementTook    time.Duration
+	runsCheckedAt    time.Time // when checkRuns last ran
+	demandMeasuredAt time.Time // when measureDemand last ran
+	waitLoggedAt     time.Time // when logWait last logged a step
+	loadLoggedAt     time.Time // when logLoad last logged the load
+	batch            *Append
+	appendInFlight   bool
+	stopsRetriedAt   time.Time     // when retryStops last ran
+	storeLatency     time.Duration // smoothed duration of an append
+	appendSentAt     time.Time     // when the append in flight was sent
+	storeDownSince   time.Time     // since when the store refuses appends; zero if it accepts them
+	appendRetryAt    time.Time     // when the next append may be sent
+	dirtySteps       map[*stepRun]struct{}
+	dirtyStepList    []*stepRun
 }
 
-// New returns an engine without jobs or workers. wall reads the time of day.
+// New returns an engine without jobs or workers. wall returns the wall clock time in
+// Unix milliseconds.
 func New(cfg Config, log *slog.Logger, wall func() int64, now time.Time) *Engine {
 	return &Engine{
 		cfg: cfg, log: log, wall: wall, now: now, started: now,
 		policy: (&policy.Policy{}).Index(),
 		jobs:   make(map[string]*jobState), workers: make(map[string]*worker),
-		strays: make(map[string]time.Time), usage: make(map[string]job.Resources),
-		queued: make(map[string]int), owed: make(map[string]*allowance),
+		unknownRunStops: make(map[string]time.Time), usage: make(map[string]job.Resources),
+		queued: make(map[string]int), entitlements: make(map[string]*tokenBucket),
 		demands: make(map[int]*demand),
-		batch:   &Append{}, dirtyStep: make(map[*stepRun]struct{}),
+		batch:   &Append{}, dirtySteps: make(map[*stepRun]struct{}),
 	}
 }
 
-// Handle takes in one event that happened at now.
+// Handle applies an event that happened at now.
 func (e *Engine) Handle(now time.Time, event any) {
 	e.now = now
-	if e.deposed {
-		e.refuseAll(event)
+	if e.steppedDown {
+		e.refuseRequest(event)
 		return
 	}
 	switch ev := event.(type) {
@@ -122,7 +124,7 @@
 	case *WorkersListed:
 		e.workersListed(ev.Workers)
 	case *Looked:
-		e.looked(ev)
+		e.renewalAnswered(ev)
 	case *StartAnswered:
 		e.startAnswered(ev)
 	case *StopAnswered:
@@ -132,34 +134,35 @@
 	case *Appended:
 		e.appended(ev)
 	case *StoreAnswered:
-		e.storeBack()
+		e.storeRecovered()
 	case *ArmsChanged:
-		e.armsChanged(ev.Arms)
+		e.delegatesChanged(ev.Arms)
 	}
 }
 
-// Settle does what became due after a batch of events and returns the actions.
+// Settle does the work that is due after a batch of events and returns the actions
+// that have accumulated.
 func (e *Engine) Settle(now time.Time) []any {
 	e.now = now
-	if !e.deposed {
-		e.lapsed()
-		e.expire()
+	if !e.steppedDown {
+		e.endLapsedRuns()
+		e.dropExpiredJobs()
 		e.retryStops()
-		e.watch()
-		e.openDue()
-		if len(e.open) > 0 && now.Sub(e.planned) >= replanEvery {
-			e.dirty = true
+		e.checkRuns()
+		e.openDueOccurrences()
+		if len(e.openSteps) > 0 && now.Sub(e.placedAt) >= maxPlacementInterval {
+			e.needsPlacement = true
 		}
-		if e.dirty && now.Sub(e.planned) >= max(e.cfg.Planning, planningRest*e.planTook) {
-			e.dirty = false
-			e.planned = now
+		if e.needsPlacement && now.Sub(e.placedAt) >= max(e.cfg.Planning, placementPauseMultiplier*e.placementTook) {
+			e.needsPlacement = false
+			e.placedAt = now
 			begun := e.cfg.Clock()
 			e.place()
-			e.planTook = e.cfg.Clock().Sub(begun)
+			e.placementTook = e.cfg.Clock().Sub(begun)
 		}
-		e.lookAtWorkers()
-		e.refuseUnstored()
-		e.tellLoad()
+		e.sendRenewals()
+		e.refuseUnstoredJobs()
+		e.logLoad()
 		e.flush()
 	}
 	actions := e.actions
@@ -169,7 +172,8 @@
 
 func (e *Engine) emit(action any) { e.actions = append(e.actions, action) }
 
-func (e *Engine) age(at time.Time) int64 {
+// msSince returns the milliseconds since at, or -1 if at is zero.
+func (e *Engine) msSince(at time.Time) int64 {
 	if at.IsZero() {
 		return -1
 	}
@@ -177,16 +181,17 @@
 }
 
 func (e *Engine) stepDown(why string) {
-	if e.deposed {
+	if e.steppedDown {
 		return
 	}
-	e.deposed = true
+	e.steppedDown = true
 	e.log.Warn("stepping down", "term", e.cfg.Term, "reason", why)
 	e.emit(&StepDown{Why: why})
 }
 
-// refuseAll answers callers after another leader has taken over. They ask again.
-func (e *Engine) refuseAll(event any) {
+// refuseRequest refuses a caller's request after another leader has taken over. The
+// caller repeats it there.
+func (e *Engine) refuseRequest(event any) {
 	var reply func(Answer)
 	switch ev := event.(type) {
 	case *Submit:
@@ -207,9 +212,9 @@
 	if p.Version <= e.policy.Version {
 		return
 	}
-	e.log.Info("declarations in force", "version", p.Version, "before", e.policy.Version, "queues", len(p.Queues), "teams", len(p.Teams))
+	e.log.Info("declarations applied", "version", p.Version, "before", e.policy.Version, "queues", len(p.Queues), "teams", len(p.Teams))
 	e.policy = p
-	e.dirty = true
+	e.needsPlacement = true
 }
 
 func (e *Engine) queueOf(j *jobState) *policy.Queue { return e.policy.Queue(j.queue) }
@@ -217,7 +222,7 @@
 // task returns the task of that name, or nil.
 func (e *Engine) task(ref job.TaskRef) *task {
 	j := e.jobs[ref.Job]
-	if j == nil || j.spec == nil || ref.Occurrence >= len(j.occ) || ref.Step >= len(j.spec.Steps) {
+	if j == nil || j.spec == nil || ref.Occurrence >= len(j.occurrences) || ref.Step >= len(j.spec.Steps) {
 		return nil
 	}
 	if ref.Index >= j.spec.Steps[ref.Step].Count {
--- a/internal/cell/engine/gangs_test.go
+++ b/internal/cell/engine/gangs_test.go
@@ -82,16 +82,16 @@
 	id := w.submit("gangs", "a", gang(8, 20000, time.Second))
 	w.run(50 * time.Millisecond) // the first calls are under way
 	e := w.engine
-	q, s := w.policy.Queue("gangs"), e.jobs[id].occ[0].steps[0]
+	q, s := w.policy.Queue("gangs"), e.jobs[id].occurrences[0].steps[0]
 	s.advice = nil
 	for i, name := range w.ids {
 		until := e.now.Add(500 * time.Millisecond)
 		if i >= 6 {
 			until = time.Time{}
 		}
-		s.known(name, ticket{value: "t", life: e.workers[name].life, until: until})
+		s.markGood(name, ticket{value: "t", incarnation: e.workers[name].incarnation, validUntil: until})
 	}
-	assert.GreaterOrEqual(t, len(e.worthAsking(s, q, e.roomOf("s"))), 8)
+	assert.GreaterOrEqual(t, len(e.workersToAsk(s, q, e.newRound("s"))), 8)
 }
 
 // The adviser takes a hundred workers in a call: a batch step with more lapsed
@@ -102,18 +102,18 @@
 	id := w.submit("batch", "a", tasks(150, 20000, time.Second))
 	w.run(20 * time.Millisecond) // the first call is under way
 	e := w.engine
-	s := e.jobs[id].occ[0].steps[0]
+	s := e.jobs[id].occurrences[0].steps[0]
 	s.advice = nil
 	for _, name := range w.ids {
-		s.known(name, ticket{life: e.workers[name].life})
+		s.markGood(name, ticket{incarnation: e.workers[name].incarnation})
 	}
 	e.actions = nil
-	e.advise(s, w.policy.Queue("batch"), e.roomOf("s"))
+	e.advise(s, w.policy.Queue("batch"), e.newRound("s"))
 	asks := 0
 	for _, action := range e.actions {
 		if a, ok := action.(*Ask); ok {
 			asks++
-			assert.LessOrEqual(t, len(a.Workers), mostAsked)
+			assert.LessOrEqual(t, len(a.Workers), maxWorkersPerCall)
 		}
 	}
 	assert.Equal(t, 2, asks)
--- a/internal/cell/engine/health.go
+++ b/internal/cell/engine/health.go
@@ -2,64 +2,69 @@
 
 import "time"
 
-// health judges a worker by the outcomes of its tasks. It answers workers that
-// report themselves as sound and fail, or stall, what they start.
+// health tracks the outcomes of a worker's runs. It detects workers that report
+// themselves as healthy but whose runs fail or stall.
 type health struct {
-	failures int // failed runs in a row
-	until    time.Time
-	penalty  time.Duration
-	stalls   int // stalled runs in a row
+	failures         int // consecutive failed runs
+	quarantinedUntil time.Time
+	quarantineTime   time.Duration
+	stalls           int // consecutive stalled runs
 }
 
 const (
-	// failuresToQuarantine is how many runs of different tasks fail in a row
-	// before a worker is left alone. Sound workers fail one run in twenty.
+	// failuresToQuarantine is the number of consecutive failed runs of different tasks
+	// after which a worker is quarantined. On healthy workers one run in twenty fails.
 	failuresToQuarantine = 3
-	firstQuarantine      = 2 * time.Second
-	longestQuarantine    = 8 * time.Second
+	initialQuarantine    = 2 * time.Second
+	maxQuarantine        = 8 * time.Second
 )
 
-func (h *health) quarantined(now time.Time) bool { return now.Before(h.until) }
+// quarantined reports whether the worker gets no new tasks now.
+func (h *health) quarantined(now time.Time) bool { return now.Before(h.quarantinedUntil) }
 
-// failurePenalty is how much slower a worker is ranked for each failure in a row.
-const failurePenalty = 0.3
+// slownessPerFailure is the slowness that each consecutive failure or stall adds.
+const slownessPerFailure = 0.3
 
-// slowness returns how much longer than on a sound worker a task is taken to last.
-func (h *health) slowness() float64 { return 1 + failurePenalty*float64(h.failures+h.stalls) }
+// slowness returns the assumed runtime of a task as a multiple of that on a healthy
+// worker.
+func (h *health) slowness() float64 { return 1 + slownessPerFailure*float64(h.failures+h.stalls) }
 
-// succeeded notes a run that ended well.
+// succeeded records a successful run.
 func (h *health) succeeded() {
 	h.failures, h.stalls = 0, 0
-	h.penalty = 0
+	h.quarantineTime = 0
 }
 
-// failed notes a run that failed. It reports whether the worker is put under
-// quarantine now.
+// failed records a failed run. It reports whether the worker is quarantined because of
+// it.
 func (h *health) failed(now time.Time) bool {
 	h.failures++
-	return h.struck(h.failures, failuresToQuarantine, now)
+	return h.quarantineFrom(h.failures, failuresToQuarantine, now)
 }
 
-// stallsToQuarantine is how many runs in a row stall before a worker is left alone.
+// stallsToQuarantine is the number of consecutive stalled runs after which a worker is
+// quarantined.
 const stallsToQuarantine = 2
 
-// stalled notes a run that made no progress. It reports whether the worker is put
-// under quarantine now.
+// stalled records a run that made no progress. It reports whether the worker is
+// quarantined because of it.
 func (h *health) stalled(now time.Time) bool {
 	h.stalls++
-	return h.struck(h.stalls, stallsToQuarantine, now)
+	return h.quarantineFrom(h.stalls, stallsToQuarantine, now)
 }
 
-// struck puts the worker under quarantine once count reaches most, unless it is.
-func (h *health) struck(count, most int, now time.Time) bool {
-	if count < most || h.quarantined(now) {
+// quarantineFrom quarantines the worker if count has reached limit and it is not
+// quarantined yet. It reports whether it did.
+func (h *health) quarantineFrom(count, limit int, now time.Time) bool {
+	if count < limit || h.quarantined(now) {
 		return false
 	}
 	h.quarantine(now)
 	return true
 }
 
+// quarantine quarantines the worker for twice as long as the last time, within the limits.
 func (h *health) quarantine(now time.Time) {
-	h.penalty = min(longestQuarantine, max(firstQuarantine, 2*h.penalty))
-	h.until = now.Add(h.penalty)
+	h.quarantineTime = min(maxQuarantine, max(initialQuarantine, 2*h.quarantineTime))
+	h.quarantinedUntil = now.Add(h.quarantineTime)
 }
--- a/internal/cell/engine/jobs.go
+++ b/internal/cell/engine/jobs.go
@@ -7,7 +7,7 @@
 	"pollenbend/internal/cell/record"
 )
 
-// Words for the state of a job.
+// The states of a job in answers to callers.
 const (
 	StateQueued    = "queued"
 	StateRunning   = "running"
@@ -18,114 +18,116 @@
 
 func (e *Engine) submit(ev *Submit) {
 	if j := e.jobs[ev.Spec.ID]; j != nil {
-		e.submitAgain(j, ev)
+		e.resubmit(j, ev)
 		return
 	}
-	why, after := e.admit(ev.Spec)
+	why, retryAfter := e.admit(ev.Spec)
 	if why == "" {
-		why, after = e.unstorable()
+		why, retryAfter = e.storeUnavailable()
 	}
 	if why != "" {
-		e.refuse(ev.Spec, why, after, ev.Reply)
+		e.refuse(ev.Spec, why, retryAfter, ev.Reply)
 		return
 	}
 	j := newJob(ev.Spec, e.wall())
-	j.arrived = e.now
-	j.overdue = !e.allow(ev.Spec.Team)
-	e.add(j)
+	j.arrivedAt = e.now
+	j.overEntitlement = !e.takeToken(ev.Spec.Team)
+	e.addJob(j)
 	e.put(record.JobKey(j.id), record.Encode(&record.Job{Spec: j.spec, Accepted: j.accepted}))
-	j.waiting = append(j.waiting, ev.Reply)
+	j.pendingReplies = append(j.pendingReplies, ev.Reply)
 	e.batch.jobs = append(e.batch.jobs, j)
 	e.afterAppend(func() {
 		if e.jobs[j.id] != j {
-			return // refused meanwhile
+			return // refused in the meantime
 		}
 		j.stored = true
-		for _, reply := range j.waiting {
+		for _, reply := range j.pendingReplies {
 			reply(Answer{Outcome: OK})
 		}
-		j.waiting = nil
-		e.log.Info("job accepted", "job", j.id, "queue", j.queue, "team", j.team, "steps", len(ev.Spec.Steps), "after_ms", e.age(j.arrived))
+		j.pendingReplies = nil
+		e.log.Info("job accepted", "job", j.id, "queue", j.queue, "team", j.team, "steps", len(ev.Spec.Steps), "after_ms", e.msSince(j.arrivedAt))
 	})
 }
 
-// refuse tells everyone who handed a job in that it is not accepted.
-func (e *Engine) refuse(spec *job.Spec, why string, after time.Duration, replies ...func(Answer)) {
-	e.log.Info("job refused", "job", spec.ID, "queue", spec.Queue, "team", spec.Team, "reason", why, "retry_ms", after.Milliseconds(), "open_steps", len(e.open))
+// refuse answers the submitters of a job that it is not accepted.
+func (e *Engine) refuse(spec *job.Spec, why string, retryAfter time.Duration, replies ...func(Answer)) {
+	e.log.Info("job refused", "job", spec.ID, "queue", spec.Queue, "team", spec.Team, "reason", why, "retry_ms", retryAfter.Milliseconds(), "open_steps", len(e.openSteps))
 	for _, reply := range replies {
-		reply(Answer{Outcome: Refused, Why: why, RetryAfter: after})
+		reply(Answer{Outcome: Refused, Why: why, RetryAfter: retryAfter})
 	}
 }
 
-// submitAgain answers a repeat of a submission.
-func (e *Engine) submitAgain(j *jobState, ev *Submit) {
+// resubmit answers a repeated submission of a known job.
+func (e *Engine) resubmit(j *jobState, ev *Submit) {
 	if j.team != ev.Spec.Team {
 		ev.Reply(Answer{Outcome: Refused, Why: "the id is taken"})
 		return
 	}
 	if !j.stored {
-		j.waiting = append(j.waiting, ev.Reply)
+		j.pendingReplies = append(j.pendingReplies, ev.Reply)
 		return
 	}
 	ev.Reply(Answer{Outcome: OK})
 }
 
-// add takes a job in and opens its first steps.
-func (e *Engine) add(j *jobState) {
+// addJob adds a job and opens its first steps. A scheduled job is opened by
+// openDueOccurrences.
+func (e *Engine) addJob(j *jobState) {
 	e.jobs[j.id] = j
 	if j.spec == nil {
 		return
 	}
 	if j.spec.Scheduled() {
-		e.timed = append(e.timed, j)
+		e.scheduledJobs = append(e.scheduledJobs, j)
 		return
 	}
-	if !j.begun {
+	if !j.started {
 		e.queued[j.queue]++
 	}
-	e.openSteps(j.occurrenceAt(0))
+	e.openReadySteps(j.occurrenceAt(0))
 }
 
-// openSteps opens the steps of o whose turn has come.
-func (e *Engine) openSteps(o *occurrence) {
-	e.arrived(o)
+// openReadySteps opens the steps of o whose dependencies are done.
+func (e *Engine) openReadySteps(o *occurrence) {
+	e.countArrival(o)
 	for _, s := range o.steps {
-		if s.ready || s.left == 0 || !o.dependenciesDone(s) {
+		if s.ready || s.remaining == 0 || !o.dependenciesDone(s) {
 			continue
 		}
 		s.ready = true
 		s.readyAt = e.now
-		e.open = append(e.open, s)
-		e.dirty = true
+		e.openSteps = append(e.openSteps, s)
+		e.needsPlacement = true
 	}
 }
 
+// dependenciesDone reports whether all steps that s depends on are done.
 func (o *occurrence) dependenciesDone(s *stepRun) bool {
 	for _, d := range s.spec.DependsOn {
-		if o.steps[d].left > 0 {
+		if o.steps[d].remaining > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// openDue opens the occurrences of scheduled jobs that are due.
-func (e *Engine) openDue() {
-	if len(e.timed) == 0 {
+// openDueOccurrences opens the occurrences of scheduled jobs that are due.
+func (e *Engine) openDueOccurrences() {
+	if len(e.scheduledJobs) == 0 {
 		return
 	}
 	wall := e.wall()
-	for _, j := range e.timed {
+	for _, j := range e.scheduledJobs {
 		if j.state.Final() {
 			continue
 		}
-		for k := range j.occ {
+		for k := range j.occurrences {
 			if j.spec.Due(k) > wall {
 				break
 			}
 			o := j.occurrenceAt(k)
-			if o.left > 0 {
-				e.openSteps(o)
+			if o.remaining > 0 {
+				e.openReadySteps(o)
 			}
 		}
 	}
@@ -138,8 +140,8 @@
 		return
 	}
 	if j.state == record.Open {
-		e.log.Info("job canceled", "job", j.id, "begun", j.begun)
-		e.finish(j, record.Canceled)
+		e.log.Info("job canceled", "job", j.id, "begun", j.started)
+		e.finishJob(j, record.Canceled)
 	}
 	e.afterAppend(func() { ev.Reply(Answer{Outcome: OK}) })
 }
@@ -150,11 +152,12 @@
 		ev.Reply(Answer{Outcome: NotFound})
 		return
 	}
-	ev.Reply(Answer{Outcome: OK, State: j.word()})
+	ev.Reply(Answer{Outcome: OK, State: j.stateName()})
 }
 
-func (j *jobState) word() string {
-	switch j.shown {
+// stateName returns the state of j for callers, one of the State constants.
+func (j *jobState) stateName() string {
+	switch j.reportedState {
 	case record.Completed:
 		return StateCompleted
 	case record.Failed:
@@ -162,60 +165,61 @@
 	case record.Canceled:
 		return StateCanceled
 	}
-	if j.begun {
+	if j.started {
 		return StateRunning
 	}
 	return StateQueued
 }
 
-// taskBegun notes that a task of j has started, or that none ever will: j no longer
-// counts as waiting.
-func (e *Engine) taskBegun(j *jobState) {
-	if j.begun {
+// markStarted records that a task of j has started, or that none ever will, so that j
+// no longer counts as queued.
+func (e *Engine) markStarted(j *jobState) {
+	if j.started {
 		return
 	}
-	j.begun = true
+	j.started = true
 	if !j.spec.Scheduled() {
 		e.queued[j.queue]--
 	}
 }
 
-// finish ends a job and stops what still runs of it.
-func (e *Engine) finish(j *jobState, state record.State) {
+// finishJob ends a job in the given final state and stops its remaining runs.
+func (e *Engine) finishJob(j *jobState, state record.State) {
 	j.state = state
 	j.ended = e.wall()
-	e.taskBegun(j)
+	e.markStarted(j)
 	e.put(record.JobKey(j.id), record.Encode(j.record()))
 	j.eachStep(func(s *stepRun) {
 		for _, t := range s.tasks {
 			for _, r := range t.runs {
 				if !t.done || !s.spec.Gang {
-					e.stop(r, "the job is over")
+					e.stop(r, "job has ended")
 				}
 			}
 		}
 	})
 	e.afterAppend(func() {
-		j.shown = state
-		e.log.Info("job over", "job", j.id, "state", j.word(), "queue", j.queue, "since_arrival_ms", e.age(j.arrived))
+		j.reportedState = state
+		e.log.Info("job ended", "job", j.id, "state", j.stateName(), "queue", j.queue, "since_arrival_ms", e.msSince(j.arrivedAt))
 	})
-	e.ended = append(e.ended, j)
-	e.dirty = true
-	e.compact(j)
+	e.endedJobs = append(e.endedJobs, j)
+	e.needsPlacement = true
+	e.compactJob(j)
 }
 
-// record returns the durable form of j. While runs of a job that is over are left,
-// it keeps the job's spec, so that a next leader knows what they take.
+// record returns the record of j. As long as an ended job has runs, the record keeps
+// the job's spec, from which the next leader knows what resources they use.
 func (j *jobState) record() *record.Job {
 	r := &record.Job{State: j.state, Team: j.team, Queue: j.queue, Accepted: j.accepted, Ended: j.ended}
-	if !j.state.Final() || j.live() {
+	if !j.state.Final() || j.hasRuns() {
 		r.Spec = j.spec
 	}
 	return r
 }
 
+// eachStep calls f for every step of the occurrences created so far.
 func (j *jobState) eachStep(f func(*stepRun)) {
-	for _, o := range j.occ {
+	for _, o := range j.occurrences {
 		if o == nil {
 			continue
 		}
@@ -225,50 +229,51 @@
 	}
 }
 
-// live reports whether runs of j are left.
-func (j *jobState) live() bool {
+// hasRuns reports whether a task of j has a run.
+func (j *jobState) hasRuns() bool {
 	live := false
 	j.eachStep(func(s *stepRun) {
 		for _, t := range s.tasks {
-			live = live || t.live()
+			live = live || t.hasRuns()
 		}
 	})
 	return live
 }
 
-// compact drops the steps of a job that is over from the store once none of its
-// runs is left.
-func (e *Engine) compact(j *jobState) {
-	if !j.state.Final() || j.compacted || j.live() {
+// compactJob removes the steps of an ended job from the store once the job has no
+// runs.
+func (e *Engine) compactJob(j *jobState) {
+	if !j.state.Final() || j.compacted || j.hasRuns() {
 		return
 	}
 	j.compacted = true
 	j.eachStep(func(s *stepRun) {
-		if s.touched() {
+		if s.mayBeStored() {
 			e.put(record.StepKey(s.ref), nil)
 		}
 	})
 	e.put(record.JobKey(j.id), record.Encode(j.record()))
 }
 
-// touched reports whether a record of s may be stored.
-func (s *stepRun) touched() bool {
+// mayBeStored reports whether the store may hold a record of s.
+func (s *stepRun) mayBeStored() bool {
 	if s.advice != nil {
-		return true // the adviser's answers are kept before a task starts
+		return true // the adviser's answers are stored before a task starts
 	}
 	for _, t := range s.tasks {
-		if t.number > 0 || t.live() || t.done {
+		if t.lastRun > 0 || t.hasRuns() || t.done {
 			return true
 		}
 	}
 	return false
 }
 
-// expire forgets jobs that ended long ago.
-func (e *Engine) expire() {
+// dropExpiredJobs drops jobs that ended more than KeepEnded ago, from the store as
+// well, and forgets old stop commands for unknown runs.
+func (e *Engine) dropExpiredJobs() {
 	n := 0
 	wall := e.wall()
-	for _, j := range e.ended {
+	for _, j := range e.endedJobs {
 		if wall-j.ended < e.cfg.KeepEnded.Milliseconds() {
 			break
 		}
@@ -276,10 +281,10 @@
 		e.put(record.JobKey(j.id), nil)
 		n++
 	}
-	e.ended = e.ended[n:]
-	for k, at := range e.strays {
+	e.endedJobs = e.endedJobs[n:]
+	for k, at := range e.unknownRunStops {
 		if e.now.Sub(at) > time.Minute {
-			delete(e.strays, k)
+			delete(e.unknownRunStops, k)
 		}
 	}
 }
--- a/internal/cell/engine/log_test.go
+++ b/internal/cell/engine/log_test.go
@@ -39,8 +39,8 @@
 	w.storeRefuses = true
 	refused := w.submit("batch", "a", tasks(1, 1000, time.Second))
 	w.run(100 * time.Millisecond)
-	assert.Equal(t, []string{"job accepted", "task started", "run ended", "job over"}, linesOf(t, &log, done))
-	assert.Equal(t, []string{"job accepted", "task started", "job canceled", "job over", "run ended"}, linesOf(t, &log, canceled))
+	assert.Equal(t, []string{"job accepted", "task started", "run ended", "job ended"}, linesOf(t, &log, done))
+	assert.Equal(t, []string{"job accepted", "task started", "job canceled", "job ended", "run ended"}, linesOf(t, &log, canceled))
 	assert.Contains(t, linesOf(t, &log, waits), "step waits")
 	assert.Equal(t, []string{"job refused", "run dropped"}, linesOf(t, &log, refused))
 }
--- a/internal/cell/engine/heavy_test.go
+++ b/internal/cell/engine/overload_test.go
@@ -102,7 +102,7 @@
 	w.cancel(filler)
 	w.run(3 * time.Second)
 	assert.Equal(t, StateCompleted, w.state(id))
-	assert.LessOrEqual(t, w.asked, 12+spareLapsed)
+	assert.LessOrEqual(t, w.asked, 12+spareRenewedTickets)
 }
 
 // A job is canceled while its gang waits for room: what the adviser has said of it
--- a/internal/cell/engine/reports.go
+++ b/internal/cell/engine/reports.go
@@ -6,40 +6,41 @@
 	"pollenbend/internal/cell/job"
 )
 
-// applyEnds takes in the ends that a worker lists.
+// applyEnds applies the finished runs that a worker reports.
 func (e *Engine) applyEnds(w *worker, rep *Report) {
-	last := w.seen
-	fresh := false
+	last := w.appliedCursor
+	found := false
 	for i := range rep.Ended {
 		end := &rep.Ended[i]
-		if end.Number <= w.seen {
+		if end.Number <= w.appliedCursor {
 			continue
 		}
 		last = max(last, end.Number)
-		fresh = true
+		found = true
 		ref, err := job.ParseTask(end.Task)
 		if err != nil {
-			e.log.Warn("worker lists an unknown task", "worker", w.id, "task", end.Task, "reason", err.Error())
+			e.log.Warn("worker reported the end of an unknown task", "worker", w.id, "task", end.Task, "reason", err.Error())
 			continue
 		}
 		e.applyEnd(w, ref, end)
 	}
-	if !fresh {
+	if !found {
 		return
 	}
-	w.seen = last
-	w.unstored++
-	w.lookSoon = true
-	life := w.life
+	w.appliedCursor = last
+	w.unstoredBatches++
+	w.renewWithoutWait = true
+	incarnation := w.incarnation
 	e.afterAppend(func() {
-		w.unstored--
-		if w.life == life {
+		w.unstoredBatches--
+		if w.incarnation == incarnation {
 			w.cursor = max(w.cursor, last)
-			w.lookNext = e.now
+			w.nextRenewal = e.now
 		}
 	})
 }
 
+// applyEnd applies one finished run.
 func (e *Engine) applyEnd(w *worker, ref job.TaskRef, end *RunEnd) {
 	t := e.task(ref)
 	if t == nil {
@@ -51,28 +52,28 @@
 			return
 		}
 	}
-	// The run is not known here: it was given up after its lease had lapsed, or its
-	// record was never stored. A success is taken only if no other run is live.
+	// The run is unknown: it was abandoned after its lease had expired, or its record
+	// was never stored. A success counts only if the task has no other run.
 	e.log.Info("end of an unknown run", "task", end.Task, "run", end.Run, "worker", w.id, "how", end.How.String())
-	if end.Run > t.number {
-		t.number = end.Run
-		t.step.gangRun = max(t.step.gangRun, end.Run)
+	if end.Run > t.lastRun {
+		t.lastRun = end.Run
+		t.step.lastGangRun = max(t.step.lastGangRun, end.Run)
 	}
-	if end.How == EndedDone && !t.done && !t.live() {
+	if end.How == EndedDone && !t.done && !t.hasRuns() {
 		e.taskDone(t)
 	}
 }
 
-// applyRunning compares what a worker runs with what it should run.
+// applyRunning compares the runs that a worker reports with those it should have.
 func (e *Engine) applyRunning(w *worker, ev *Looked) {
 	present := make(map[string]*RunStatus, len(ev.Report.Running))
-	w.strays = 0
+	w.unknownRuns = 0
 	for i := range ev.Report.Running {
 		s := &ev.Report.Running[i]
 		present[s.Task] = s
 		ref, err := job.ParseTask(s.Task)
 		if err != nil {
-			e.log.Warn("worker runs an unknown task", "worker", w.id, "task", s.Task, "reason", err.Error())
+			e.log.Warn("worker reported a run of an unknown task", "worker", w.id, "task", s.Task, "reason", err.Error())
 			continue
 		}
 		e.applyStatus(w, ref, s)
@@ -82,102 +83,102 @@
 		if s != nil && s.Run == r.number {
 			continue
 		}
-		e.missing(w, r, ev)
+		e.runMissing(w, r, ev)
 	}
 }
 
-// applyStatus takes in one run that a worker reports as present.
+// applyStatus applies one run that a worker reports as running.
 func (e *Engine) applyStatus(w *worker, ref job.TaskRef, s *RunStatus) {
 	t := e.task(ref)
 	if t != nil {
 		for _, r := range t.runs {
 			if r.worker == w && r.number == s.Run {
-				e.runSeen(r, s)
+				e.runReported(r, s)
 				return
 			}
 		}
 	}
-	e.stray(w, t, s)
+	e.stopUnknownRun(w, t, s)
 }
 
-// runSeen notes the progress of a run.
-func (e *Engine) runSeen(r *run, s *RunStatus) {
-	if r.phase == ordered || r.phase == doubtful || r.phase == planned && r.restored {
+// runReported records the progress of a run.
+func (e *Engine) runReported(r *run, s *RunStatus) {
+	if r.phase == starting || r.phase == unconfirmed || r.phase == planned && r.restored {
 		r.phase = running
-		e.taskBegun(r.task.step.job())
+		e.markStarted(r.task.step.job())
 	}
 	r.restored = false
 	if s.Checkpoint != "" {
 		r.task.checkpoint = s.Checkpoint
 	}
 	if r.baseAt.IsZero() {
-		r.base, r.baseAt = s.Percent, e.now
+		r.basePercent, r.baseAt = s.Percent, e.now
 	}
-	if s.Percent > r.percent || r.percentAt.IsZero() {
-		r.percent, r.percentAt = s.Percent, e.now
+	if s.Percent > r.percent || r.progressAt.IsZero() {
+		r.percent, r.progressAt = s.Percent, e.now
 	}
 	if r.task.done && r.phase == running {
 		e.stop(r, "the task is done")
 	}
 }
 
-// stray deals with a run that nobody here knows: of an earlier leader whose
-// record was not stored, or carried out late.
-func (e *Engine) stray(w *worker, t *task, s *RunStatus) {
-	w.strays++
-	w.lookSoon = true
+// stopUnknownRun stops a run that this leader does not know: an earlier leader started
+// it without its record being stored, or the worker carried out a start command late.
+func (e *Engine) stopUnknownRun(w *worker, t *task, s *RunStatus) {
+	w.unknownRuns++
+	w.renewWithoutWait = true
 	key := s.Task
-	if at, known := e.strays[key]; known && e.now.Sub(at) < e.cfg.StopRetry {
+	if at, known := e.unknownRunStops[key]; known && e.now.Sub(at) < e.cfg.StopRetry {
 		return
 	}
-	e.strays[key] = e.now
-	e.log.Warn("stopping a run that is not wanted", "task", s.Task, "run", s.Run, "worker", w.id, "task_known", t != nil)
-	e.emit(&Stop{Timeout: stopTimeout, Worker: w.id, Address: w.address, Life: w.life, Task: s.Task, Run: s.Run})
+	e.unknownRunStops[key] = e.now
+	e.log.Warn("stopping unknown run", "task", s.Task, "run", s.Run, "worker", w.id, "task_known", t != nil)
+	e.emit(&Stop{Timeout: stopTimeout, Worker: w.id, Address: w.address, Life: w.incarnation, Task: s.Task, Run: s.Run})
 }
 
-// missing deals with a run that the worker neither runs nor lists as ended.
-func (e *Engine) missing(w *worker, r *run, ev *Looked) {
+// runMissing handles a run that the worker reports neither as running nor as finished.
+func (e *Engine) runMissing(w *worker, r *run, ev *Looked) {
 	switch r.phase {
 	case planned:
 		if !r.restored {
 			return
 		}
-		e.stop(r, "not seen after a change of leaders")
-	case ordered:
-		return // the order may still be under way; its answer decides
+		e.stop(r, "not reported after a change of leader")
+	case starting:
+		return // the start command may still be under way; its answer decides
 	case running:
-		if ev.Sent.After(r.begun.Add(e.cfg.SettleStart)) {
-			// Confirmed, absent and not listed as ended: the worker forgot it.
-			e.stop(r, "gone from its worker")
+		if ev.Sent.After(r.startSentAt.Add(e.cfg.SettleStart)) {
+			// The run was confirmed and is not reported as finished: the worker lost it.
+			e.stop(r, "missing on its worker")
 		}
-	case doubtful:
-		e.stop(r, "in doubt")
+	case unconfirmed:
+		e.stop(r, "start unconfirmed")
 	case stopping:
-		if !r.stopped.IsZero() && ev.Sent.After(r.stopped) {
+		if !r.stopConfirmedAt.IsZero() && ev.Sent.After(r.stopConfirmedAt) {
 			e.endRun(r, EndedStopped, "", "absent after the stop")
 		}
 	}
 }
 
-// lapsed ends the runs on workers that were not reached until every lease there
-// had run out.
-func (e *Engine) lapsed() {
-	for _, w := range e.order {
+// endLapsedRuns ends the runs on workers that were unreachable until all of their
+// leases had expired.
+func (e *Engine) endLapsedRuns() {
+	for _, w := range e.workerList {
 		if len(w.runs) == 0 {
 			continue
 		}
-		end := w.lapses()
-		if !w.looked {
+		end := w.leasesLapseAt()
+		if !w.reported {
 			end = e.started.Add(e.cfg.MaxLease + time.Duration(float64(e.cfg.MaxLease)*2*clockDrift))
 		}
 		if e.now.Before(end.Add(e.cfg.LapseMargin)) {
 			continue
 		}
 		for _, r := range w.sortedRuns() {
-			if !r.sent {
+			if !r.startSent {
 				continue
 			}
-			e.endRun(r, EndedLapsed, "", "lease lapsed without contact")
+			e.endRun(r, EndedLapsed, "", "lease expired without contact")
 		}
 	}
 }
--- a/internal/cell/engine/restore.go
+++ b/internal/cell/engine/restore.go
@@ -8,14 +8,14 @@
 	"pollenbend/internal/cell/record"
 )
 
-// Restored is what the store keeps of a cell.
+// Restored holds the records of a cell from the store.
 type Restored struct {
 	Jobs  map[string]*record.Job
 	Steps map[job.StepRef]*record.Step
 }
 
-// Restore takes in what an earlier leader stored. It is called once, before any
-// event.
+// Restore applies the records that earlier leaders stored. It is called once, before
+// any event except WorkersListed.
 func (e *Engine) Restore(from Restored) {
 	ids := make([]string, 0, len(from.Jobs))
 	for id := range from.Jobs {
@@ -32,120 +32,123 @@
 	for _, id := range ids {
 		e.restoreJob(id, from.Jobs[id], wall, from.Steps)
 	}
-	sort.SliceStable(e.ended, func(a, b int) bool { return e.ended[a].ended < e.ended[b].ended })
-	e.log.Info("state restored", "jobs", len(from.Jobs), "steps", len(from.Steps), "open_steps", len(e.open), "workers", len(e.order))
+	sort.SliceStable(e.endedJobs, func(a, b int) bool { return e.endedJobs[a].ended < e.endedJobs[b].ended })
+	e.log.Info("state restored", "jobs", len(from.Jobs), "steps", len(from.Steps), "open_steps", len(e.openSteps), "workers", len(e.workerList))
 }
 
+// restoreJob restores a job and its steps.
 func (e *Engine) restoreJob(id string, rec *record.Job, wall int64, steps map[job.StepRef]*record.Step) {
 	if rec.Spec == nil {
 		j := &jobState{id: id, team: rec.Team, queue: rec.Queue, accepted: rec.Accepted, ended: rec.Ended,
-			state: rec.State, shown: rec.State, stored: true, begun: true, compacted: true}
+			state: rec.State, reportedState: rec.State, stored: true, started: true, compacted: true}
 		e.jobs[id] = j
-		e.ended = append(e.ended, j)
+		e.endedJobs = append(e.endedJobs, j)
 		return
 	}
 	j := newJob(rec.Spec, rec.Accepted)
 	j.stored = true
-	j.arrived = e.now.Add(-time.Duration(max(0, wall-rec.Accepted)) * time.Millisecond)
+	j.arrivedAt = e.now.Add(-time.Duration(max(0, wall-rec.Accepted)) * time.Millisecond)
 	e.jobs[id] = j
-	for k := range j.occ {
+	for k := range j.occurrences {
 		for i := range j.spec.Steps {
 			ref := job.StepRef{Job: id, Occurrence: k, Step: i}
 			if kept := steps[ref]; kept != nil {
 				e.restoreStep(j.occurrenceAt(k).steps[i], kept)
 			}
 		}
-		if o := j.occ[k]; o != nil && o.left == 0 {
-			j.left--
+		if o := j.occurrences[k]; o != nil && o.remaining == 0 {
+			j.remaining--
 		}
 	}
 	if rec.State.Final() {
 		e.restoreEnded(j, rec)
 		return
 	}
-	if j.left == 0 {
-		e.finish(j, record.Completed)
+	if j.remaining == 0 {
+		e.finishJob(j, record.Completed)
 		return
 	}
-	e.add(j)
-	for _, o := range j.occ {
-		if o != nil && o.left > 0 {
-			e.openSteps(o)
+	e.addJob(j)
+	for _, o := range j.occurrences {
+		if o != nil && o.remaining > 0 {
+			e.openReadySteps(o)
 		}
 	}
 }
 
-// restoreEnded takes in a job that is over and of which runs may be left.
+// restoreEnded restores an ended job that may still have runs.
 func (e *Engine) restoreEnded(j *jobState, rec *record.Job) {
-	j.state, j.shown, j.ended, j.begun = rec.State, rec.State, rec.Ended, true
-	e.ended = append(e.ended, j)
+	j.state, j.reportedState, j.ended, j.started = rec.State, rec.State, rec.Ended, true
+	e.endedJobs = append(e.endedJobs, j)
 	j.eachStep(func(s *stepRun) {
 		for _, t := range s.tasks {
 			for _, r := range t.runs {
-				e.stop(r, "the job is over")
+				e.stop(r, "job has ended")
 			}
 		}
 	})
-	e.compact(j)
+	e.compactJob(j)
 }
 
+// restoreStep applies the record of a step.
 func (e *Engine) restoreStep(s *stepRun, rec *record.Step) {
 	for i := range min(len(s.tasks), len(rec.Tasks)) {
 		t, kept := s.tasks[i], &rec.Tasks[i]
-		t.number, t.failures, t.checkpoint = kept.Run, kept.Failures, kept.Checkpoint
-		s.gangRun = max(s.gangRun, kept.Run)
+		t.lastRun, t.failures, t.checkpoint = kept.Run, kept.Failures, kept.Checkpoint
+		s.lastGangRun = max(s.lastGangRun, kept.Run)
 		if kept.Run > 0 {
-			s.job().begun = true
+			s.job().started = true
 		}
 		if kept.Done {
 			t.done = true
-			s.left--
+			s.remaining--
 			s.waiting--
 		}
 		if kept.Worker != "" {
 			e.restoreRun(t, kept)
 		}
-		if c, ok := rec.Copies[i]; ok && c.Worker != "" {
-			e.restoreRun(t, &c)
-			t.number = max(t.number, c.Run)
+		if copied, ok := rec.Copies[i]; ok && copied.Worker != "" {
+			e.restoreRun(t, &copied)
+			t.lastRun = max(t.lastRun, copied.Run)
 		}
 	}
 	e.restoreAdvice(s, rec)
-	if s.left == 0 {
-		s.occ.left--
+	if s.remaining == 0 {
+		s.occ.remaining--
 	}
 }
 
-// restoreAdvice takes over what the adviser has told an earlier leader. The tickets
-// are gone with it.
+// restoreAdvice restores the adviser's answers to earlier leaders, without the tickets,
+// which are not stored.
 func (e *Engine) restoreAdvice(s *stepRun, rec *record.Step) {
 	if len(rec.Asked) == 0 {
 		return
 	}
 	asked := rec.Asked.Set()
-	for _, w := range e.order {
+	for _, w := range e.workerList {
 		if asked(w.id) {
-			s.adviceSoFar().asked[w.id] = w.life
+			s.ensureAdvice().asked[w.id] = w.incarnation
 		}
 	}
 	for _, g := range rec.Good {
-		s.known(g.Worker, ticket{life: g.Life})
+		s.markGood(g.Worker, ticket{incarnation: g.Life})
 	}
 }
 
+// restoreRun restores a run. Its worker is added if the directory does not list it.
 func (e *Engine) restoreRun(t *task, kept *record.Task) {
 	w := e.workers[kept.Worker]
 	if w == nil {
 		w = newWorker(kept.Worker)
-		w.life = kept.Life
-		w.unlisted = e.now
+		w.incarnation = kept.Life
+		w.unlistedSince = e.now
 		e.workers[w.id] = w
-		e.order = append(e.order, w)
+		e.workerList = append(e.workerList, w)
 	}
-	if !t.live() && !t.done {
+	if !t.hasRuns() && !t.done {
 		t.step.waiting--
 	}
-	r := &run{task: t, worker: w, life: kept.Life, number: kept.Run, charge: t.step.charge, phase: planned, restored: true, sent: true}
+	r := &run{task: t, worker: w, incarnation: kept.Life, number: kept.Run, charge: t.step.charge, phase: planned, restored: true, startSent: true}
 	t.runs = append(t.runs, r)
 	e.reserve(r)
 }
--- a/internal/cell/engine/schedule.go
+++ b/internal/cell/engine/schedule.go
@@ -9,88 +9,90 @@
 	"pollenbend/internal/cell/policy"
 )
 
-// place starts what fits, most urgent steps first.
+// place runs a placement round: it plans runs for the tasks of open steps that fit on
+// workers, the most urgent steps first.
 func (e *Engine) place() {
-	e.compactOpen()
-	e.sortOpen()
-	rooms := make(map[string]*room)
-	for _, s := range e.open {
+	e.dropPlacedSteps()
+	e.sortOpenSteps()
+	rounds := make(map[string]*placementRound)
+	for _, s := range e.openSteps {
 		q := e.queueOf(s.job())
 		if q == nil || !s.open() {
-			continue // no service is declared for the queue now
+			continue // the queue is not declared any more
 		}
-		r := rooms[q.Service]
-		if r == nil {
-			r = e.roomOf(q.Service)
-			rooms[q.Service] = r
+		round := rounds[q.Service]
+		if round == nil {
+			round = e.newRound(q.Service)
+			rounds[q.Service] = round
 		}
-		if r.window > 0 {
-			e.placeStep(s, q, r)
+		if round.cpuBudget > 0 {
+			e.placeStep(s, q, round)
 		}
-		e.tellWait(s, r)
+		e.logWait(s, round)
 	}
-	e.placeCopies(rooms)
+	e.placeSpeculativeRuns(rounds)
 }
 
 const (
-	// tellWaitAfter is how long a step waits before the log says why, and the pause
-	// between two such lines of a step.
-	tellWaitAfter = 3 * time.Second
-	// tellWaitEvery bounds such lines over all steps.
-	tellWaitEvery = 50 * time.Millisecond
+	// waitLogDelay is the time that a step waits before logWait logs it, and the
+	// minimum interval between two such lines for the same step.
+	waitLogDelay = 3 * time.Second
+	// waitLogInterval is the minimum interval between such lines over all steps.
+	waitLogInterval = 50 * time.Millisecond
 )
 
-// tellWait logs what a step that waits for long waits for.
-func (e *Engine) tellWait(s *stepRun, r *room) {
-	if !s.open() || e.now.Sub(s.readyAt) < tellWaitAfter || e.now.Sub(s.toldAt) < tellWaitAfter || e.now.Sub(e.toldAt) < tellWaitEvery {
+// logWait logs why a step has been waiting for longer than waitLogDelay.
+func (e *Engine) logWait(s *stepRun, round *placementRound) {
+	if !s.open() || e.now.Sub(s.readyAt) < waitLogDelay || e.now.Sub(s.waitLoggedAt) < waitLogDelay || e.now.Sub(e.waitLoggedAt) < waitLogInterval {
 		return
 	}
-	s.toldAt, e.toldAt = e.now, e.now
+	s.waitLoggedAt, e.waitLoggedAt = e.now, e.now
 	good, valid, asked, calls := 0, 0, 0, 0
 	if a := s.advice; a != nil {
-		good, asked, calls = len(a.good), len(a.asked), a.calls
-		valid = len(e.ticketed(s))
+		good, asked, calls = len(a.good), len(a.asked), a.callsInFlight
+		valid = len(e.workersWithTicket(s))
 	}
-	e.log.Info("step waits", "step", s.name, "job", s.ref.Job, "ready_ms", e.age(s.readyAt), "tasks", s.waiting, "of", len(s.tasks),
-		"gang", s.spec.Gang, "cpu", s.charge.CPU, "most_free_cpu", r.most.CPU, "workers", len(r.workers), "asked", asked, "good", good,
-		"tickets", valid, "calls", calls, "team_cpu", e.usage[s.job().team].CPU, "window_left", r.window)
+	e.log.Info("step waits", "step", s.name, "job", s.ref.Job, "ready_ms", e.msSince(s.readyAt), "tasks", s.waiting, "of", len(s.tasks),
+		"gang", s.spec.Gang, "cpu", s.charge.CPU, "most_free_cpu", round.maxFree.CPU, "workers", len(round.workers), "asked", asked, "good", good,
+		"tickets", valid, "calls", calls, "team_cpu", e.usage[s.job().team].CPU, "window_left", round.cpuBudget)
 }
 
-// sortOpen brings the open steps into the order of service.
-func (e *Engine) sortOpen() {
-	for _, s := range e.open {
-		s.key = ordering.KeyOf(e.orderOf(s), e.now)
+// sortOpenSteps sorts the open steps by urgency.
+func (e *Engine) sortOpenSteps() {
+	for _, s := range e.openSteps {
+		s.key = ordering.KeyOf(e.orderingStep(s), e.now)
 	}
-	sort.SliceStable(e.open, func(i, j int) bool { return ordering.Before(e.open[i].key, e.open[j].key) })
+	sort.SliceStable(e.openSteps, func(i, j int) bool { return ordering.Before(e.openSteps[i].key, e.openSteps[j].key) })
 }
 
-func (e *Engine) orderOf(s *stepRun) ordering.Step {
+// orderingStep returns the properties of s that determine its urgency.
+func (e *Engine) orderingStep(s *stepRun) ordering.Step {
 	j := s.job()
-	o := ordering.Step{Overdue: j.overdue, Priority: lowestPriority, Arrived: e.arrivalOf(s), Left: e.chainFrom(s)}
+	o := ordering.Step{Overdue: j.overEntitlement, Priority: lowestPriority, Arrived: e.arrivalOf(s), Left: e.criticalPathFrom(s)}
 	if q := e.queueOf(j); q != nil {
 		o.Priority = q.Priority
-		o.Objective = objective(q, e.chainOf(j))
+		o.Objective = objective(q, e.criticalPath(j))
 	}
 	return o
 }
 
-// compactOpen drops steps that have nothing left to place.
-func (e *Engine) compactOpen() {
-	kept := e.open[:0]
-	for _, s := range e.open {
-		if s.left > 0 && s.waiting > 0 && !s.job().state.Final() {
+// dropPlacedSteps removes the steps without tasks to place from the open steps.
+func (e *Engine) dropPlacedSteps() {
+	kept := e.openSteps[:0]
+	for _, s := range e.openSteps {
+		if s.remaining > 0 && s.waiting > 0 && !s.job().state.Final() {
 			kept = append(kept, s)
 		}
 	}
-	clear(e.open[len(kept):])
-	e.open = kept
+	clear(e.openSteps[len(kept):])
+	e.openSteps = kept
 }
 
-// lowestPriority is that of jobs whose queue is gone.
+// lowestPriority is the priority of jobs whose queue is not declared any more.
 const lowestPriority = 1 << 20
 
-// placeStep places the waiting tasks of s as far as possible.
-func (e *Engine) placeStep(s *stepRun, q *policy.Queue, r *room) {
+// placeStep plans runs for as many waiting tasks of s as possible.
+func (e *Engine) placeStep(s *stepRun, q *policy.Queue, round *placementRound) {
 	tasks := s.waitingTasks()
 	if s.spec.Gang && len(tasks) < len(s.tasks) {
 		return // members of the last run are still being stopped
@@ -99,22 +101,23 @@
 	if len(tasks) == 0 {
 		return
 	}
-	s.tried = true
-	r.window -= max(1, s.charge.CPU*int64(len(tasks)))
+	s.placementTried = true
+	round.cpuBudget -= max(1, s.charge.CPU*int64(len(tasks)))
 	if q.Advice != nil {
-		e.advise(s, q, r)
+		e.advise(s, q, round)
 	}
-	workers := e.allowed(s, q, r)
+	workers := e.placeableWorkers(s, q, round)
 	chosen := placement.Place(e.request(s, len(tasks)), e.candidates(s, workers))
 	for i, index := range chosen {
 		t, w := tasks[i], workers[index]
-		e.plan(t, w, e.nextNumber(s, t), s.ticket(w.id))
+		e.planRun(t, w, e.nextNumber(s, t), s.ticket(w.id))
 	}
 	if len(chosen) == 0 {
-		e.hold(s, r, len(tasks))
+		e.holdForGang(s, round, len(tasks))
 	}
 }
 
+// request returns the placement request for count tasks of s.
 func (e *Engine) request(s *stepRun, count int) placement.Request {
 	return placement.Request{
 		Need: s.charge, Count: count, All: s.spec.Gang, SameRack: s.spec.SameRack,
@@ -122,19 +125,20 @@
 	}
 }
 
+// candidates returns the placement candidates for tasks of s, one per worker.
 func (e *Engine) candidates(s *stepRun, workers []*worker) []placement.Candidate {
 	out := make([]placement.Candidate, len(workers))
 	for i, w := range workers {
 		out[i] = placement.Candidate{Free: w.free(), Rack: w.rack, Slowness: w.health.slowness()}
 		if s.spec.MaxPerWorker > 0 {
-			out[i].Present = s.present(w)
+			out[i].Present = s.tasksOn(w)
 		}
 	}
 	return out
 }
 
-// present returns how many tasks of s run on w.
-func (s *stepRun) present(w *worker) int {
+// tasksOn returns how many runs of tasks of s are on w.
+func (s *stepRun) tasksOn(w *worker) int {
 	n := 0
 	for r := range w.runs {
 		if r.task.step == s {
@@ -144,30 +148,32 @@
 	return n
 }
 
+// waitingTasks returns the tasks of s that are neither done nor have a run.
 func (s *stepRun) waitingTasks() []*task {
 	var waiting []*task
 	for _, t := range s.tasks {
-		if !t.done && !t.live() {
+		if !t.done && !t.hasRuns() {
 			waiting = append(waiting, t)
 		}
 	}
 	return waiting
 }
 
-// nextNumber returns the number of the next run of t. Members of a gang share it.
+// nextNumber returns the number of the next run of t. All members of a gang use the
+// same number.
 func (e *Engine) nextNumber(s *stepRun, t *task) int {
 	if s.spec.Gang {
-		number := s.gangRun
-		if t.number == s.gangRun {
+		number := s.lastGangRun
+		if t.lastRun == s.lastGangRun {
 			number++
 		}
 		return number
 	}
-	return t.number + 1
+	return t.lastRun + 1
 }
 
-// withinLimit returns those of tasks that the team's limit leaves room for. A
-// gang gets room for all of its tasks or for none.
+// withinLimit returns the first of tasks that the team's limit allows to run now. For
+// a gang these are all of its tasks or none.
 func (e *Engine) withinLimit(s *stepRun, tasks []*task) []*task {
 	team := e.policy.Team(s.job().team)
 	if team == nil {
@@ -184,19 +190,21 @@
 	return tasks[:n]
 }
 
-// allowed returns the workers that may be sent tasks of s now, with room or without.
-func (e *Engine) allowed(s *stepRun, q *policy.Queue, r *room) []*worker {
+// placeableWorkers returns the workers that tasks of s may be sent to now, whatever
+// their free resources.
+func (e *Engine) placeableWorkers(s *stepRun, q *policy.Queue, round *placementRound) []*worker {
 	if q.Advice != nil {
-		return e.ticketed(s)
+		return e.workersWithTicket(s)
 	}
-	return s.eligible(r)
+	return s.eligible(round)
 }
 
-// eligible returns the workers that may be given tasks of s, with room or without.
-func (s *stepRun) eligible(r *room) []*worker {
-	out := make([]*worker, 0, len(r.workers))
-	for _, w := range r.workers {
-		if w.mayHold(s.spec) {
+// eligible returns the usable workers that could hold a task of s, whatever their
+// free resources.
+func (s *stepRun) eligible(round *placementRound) []*worker {
+	out := make([]*worker, 0, len(round.workers))
+	for _, w := range round.workers {
+		if w.canHold(s.spec) {
 			out = append(out, w)
 		}
 	}
--- a/internal/cell/engine/state.go
+++ b/internal/cell/engine/state.go
@@ -10,132 +10,132 @@
 	"pollenbend/internal/cell/record"
 )
 
-// jobState is a job in memory.
+// jobState is the in-memory state of a job.
 type jobState struct {
-	id        string
-	queue     string
-	team      string
-	spec      *job.Spec // nil once the job is over
-	accepted  int64     // Unix milliseconds
-	ended     int64     // Unix milliseconds
-	state     record.State
-	shown     record.State // what callers are told; follows state once that is stored
-	stored    bool         // the acceptance is stored
-	begun     bool         // a task has started
-	compacted bool         // over, and its steps are dropped from the store
-	overdue   bool         // beyond what its team is owed
-	waiting   []func(Answer)
-	occ       []*occurrence
-	left      int // occurrences that are not done
-	arrived   time.Time
-	tails     []time.Duration // longest chain of work from each step on
+	id              string
+	queue           string
+	team            string
+	spec            *job.Spec // nil for a job that was restored after its steps were compacted
+	accepted        int64     // Unix milliseconds
+	ended           int64     // Unix milliseconds
+	state           record.State
+	reportedState   record.State // what callers get; set to state once that is stored
+	stored          bool         // the job's acceptance is stored
+	started         bool         // a task has started, or none ever will
+	compacted       bool         // the job has ended and its steps are removed from the store
+	overEntitlement bool         // exceeded its team's entitlement when it was submitted
+	pendingReplies  []func(Answer)
+	occurrences     []*occurrence
+	remaining       int // occurrences that are not done
+	arrivedAt       time.Time
+	criticalPaths   []time.Duration // by step; see criticalPathsOf
 }
 
-// occurrence is one run through the steps of a job.
+// occurrence is one execution of the steps of a job. A scheduled job has several.
 type occurrence struct {
-	job   *jobState
-	index int
-	due   int64 // Unix milliseconds, zero for a job without times
-	steps []*stepRun
-	left  int // steps that are not done
+	job       *jobState
+	index     int
+	due       int64 // Unix milliseconds, zero for a job without a schedule
+	steps     []*stepRun
+	remaining int // steps that are not done
 
-	counted bool // among what has arrived
+	arrivalCounted bool // its work is counted in the arrival rate
 }
 
 // stepRun is a step of one occurrence.
 type stepRun struct {
-	occ     *occurrence
-	ref     job.StepRef
-	name    string
-	spec    *job.Step
-	tasks   []*task
-	left    int // tasks that are not done
-	waiting int // tasks that are neither done nor have a run
-	ready   bool
-	readyAt time.Time
-	toldAt  time.Time // when the log said last why it waits
-	tried   bool      // a round of placement had a chance to place its tasks
-	gangRun int       // number of the gang's last run
-	advice  *adviceState
-	charge  job.Resources
-	key     ordering.Key
+	occ            *occurrence
+	ref            job.StepRef
+	name           string
+	spec           *job.Step
+	tasks          []*task
+	remaining      int // tasks that are not done
+	waiting        int // tasks that are neither done nor have a run
+	ready          bool
+	readyAt        time.Time
+	waitLoggedAt   time.Time // when logWait last logged it
+	placementTried bool      // a placement round has tried to place its tasks
+	lastGangRun    int       // highest run number of the gang
+	advice         *adviceState
+	charge         job.Resources
+	key            ordering.Key
 }
 
 // task is one task of a step.
 type task struct {
-	step       *stepRun
-	ref        job.TaskRef
-	name       string
-	done       bool
-	number     int // of the last run
-	failures   int
-	checkpoint string
-	runs       []*run
-	lastWorker string // where the last run failed
+	step         *stepRun
+	ref          job.TaskRef
+	name         string
+	done         bool
+	lastRun      int // number of the last run
+	failures     int
+	checkpoint   string
+	runs         []*run
+	lastFailedOn string // worker on which the last failed run was
 }
 
-// phase is how far a run has come.
+// phase is the phase of a run's life cycle.
 type phase uint8
 
 const (
-	planned  phase = iota // its record is being stored
-	ordered               // the order is under way
-	running               // the worker has confirmed it
-	stopping              // a stop is wanted or under way
-	doubtful              // the worker cannot be asked; it may run until its lease lapses
+	planned     phase = iota // its record is being stored
+	starting                 // the start command has been sent
+	running                  // the worker has confirmed the start
+	stopping                 // the run is to be stopped
+	unconfirmed              // the start got no answer; the run may go on until its lease expires
 )
 
 // run is one run of a task on a worker.
 type run struct {
-	task      *task
-	worker    *worker
-	life      int64
-	number    int
-	phase     phase
-	charge    job.Resources
-	ticket    ticket
-	sent      bool      // an order has gone out, from this leader or an earlier one
-	orders    int       // times that this leader has sent the order
-	begun     time.Time // when it did so first
-	stopWhy   string
-	stopSent  time.Time
-	stopBusy  bool      // a stop is under way
-	stopped   time.Time // when the worker confirmed the stop
-	percent   int
-	percentAt time.Time // when percent last rose
-	base      int       // percent at the first sight
-	baseAt    time.Time
-	gone      bool
-	restored  bool // known from the records of an earlier leader only
+	task            *task
+	worker          *worker
+	incarnation     int64
+	number          int
+	phase           phase
+	charge          job.Resources
+	ticket          ticket
+	startSent       bool      // this leader or an earlier one has sent the start command
+	startAttempts   int       // number of times that this leader has sent the start command
+	startSentAt     time.Time // when this leader first sent it
+	stopReason      string
+	stopSentAt      time.Time
+	stopInFlight    bool      // a stop command has no answer yet
+	stopConfirmedAt time.Time // when the worker confirmed the stop
+	percent         int
+	progressAt      time.Time // when percent last rose
+	basePercent     int       // percent in the first report of the run
+	baseAt          time.Time // when that report arrived
+	ended           bool      // removed from its task and its worker
+	restored        bool      // known only from the records of an earlier leader
 }
 
-func (t *task) live() bool { return len(t.runs) > 0 }
+func (t *task) hasRuns() bool { return len(t.runs) > 0 }
 
 func (s *stepRun) job() *jobState { return s.occ.job }
 
-// fills reports whether a task of s is due to be placed.
+// open reports whether tasks of s can be placed now.
 func (s *stepRun) open() bool { return s.ready && s.waiting > 0 && s.job().state == record.Open }
 
 func newJob(spec *job.Spec, accepted int64) *jobState {
 	j := &jobState{id: spec.ID, queue: spec.Queue, team: spec.Team, spec: spec, accepted: accepted}
-	j.left = spec.Occurrences()
-	j.occ = make([]*occurrence, spec.Occurrences())
+	j.remaining = spec.Occurrences()
+	j.occurrences = make([]*occurrence, spec.Occurrences())
 	return j
 }
 
-// occurrenceAt returns occurrence k, made on first use.
+// occurrenceAt returns occurrence k and creates it on first use.
 func (j *jobState) occurrenceAt(k int) *occurrence {
-	if o := j.occ[k]; o != nil {
+	if o := j.occurrences[k]; o != nil {
 		return o
 	}
-	o := &occurrence{job: j, index: k, left: len(j.spec.Steps)}
+	o := &occurrence{job: j, index: k, remaining: len(j.spec.Steps)}
 	if j.spec.Scheduled() {
 		o.due = j.spec.Due(k)
 	}
 	for i := range j.spec.Steps {
 		o.steps = append(o.steps, newStepRun(o, i))
 	}
-	j.occ[k] = o
+	j.occurrences[k] = o
 	return o
 }
 
@@ -148,31 +148,31 @@
 		tr := job.TaskRef{StepRef: ref, Index: i}
 		s.tasks[i] = &task{step: s, ref: tr, name: tr.String()}
 	}
-	s.left = spec.Count
+	s.remaining = spec.Count
 	s.waiting = spec.Count
 	return s
 }
 
-// encode returns the record of s.
+// encode returns the encoded record of s.
 func (s *stepRun) encode() []byte {
 	r := record.Step{Tasks: make([]record.Task, len(s.tasks))}
 	for i, t := range s.tasks {
-		out := record.Task{Done: t.done, Run: t.number, Failures: t.failures, Checkpoint: t.checkpoint}
+		out := record.Task{Done: t.done, Run: t.lastRun, Failures: t.failures, Checkpoint: t.checkpoint}
 		for n, u := range t.runs {
 			if n == 0 {
-				out.Worker, out.Life, out.Run = u.worker.id, u.life, u.number
+				out.Worker, out.Life, out.Run = u.worker.id, u.incarnation, u.number
 				continue
 			}
 			if r.Copies == nil {
 				r.Copies = make(map[int]record.Task)
 			}
-			r.Copies[i] = record.Task{Run: u.number, Worker: u.worker.id, Life: u.life}
+			r.Copies[i] = record.Task{Run: u.number, Worker: u.worker.id, Life: u.incarnation}
 		}
 		r.Tasks[i] = out
 	}
 	if s.advice != nil && s.waiting > 0 {
-		for _, id := range s.advice.order {
-			r.Good = append(r.Good, record.Good{Worker: id, Life: s.advice.good[id].life})
+		for _, id := range s.advice.goodOrder {
+			r.Good = append(r.Good, record.Good{Worker: id, Life: s.advice.good[id].incarnation})
 		}
 		for _, id := range slices.Sorted(maps.Keys(s.advice.asked)) {
 			r.Asked.Add(id)
--- a/internal/cell/engine/storing.go
+++ b/internal/cell/engine/storing.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// appendPause is the pause after an append that the store refused.
-	appendPause = 60 * time.Millisecond
-	// appendEvery is the least time between two appends. Calls to the store are
-	// dear, and records that come within it share one.
-	appendEvery = 20 * time.Millisecond
-	// storingWeight is the weight of one append in the smoothed time to store.
-	storingWeight = 0.3
-	// slowStore is how long an append may be under way before new jobs are refused.
-	// A store that is a hundred times slower than usual still answers in that time.
-	slowStore = 700 * time.Millisecond
-	// storeRetry and longestStoreRetry bound when callers are told to come back
-	// while the store does not store.
-	storeRetry        = time.Second
-	longestStoreRetry = 3 * time.Second
+	// appendRetryDelay is the delay after an append that the store refused.
+	appendRetryDelay = 60 * time.Millisecond
+	// minAppendInterval is the minimum interval between two appends. Calls to the store
+	// are expensive, so the records of an interval share one append.
+	minAppendInterval = 20 * time.Millisecond
+	// storeLatencyWeight is the weight of one append in the smoothed store latency.
+	storeLatencyWeight = 0.3
+	// appendAnswerTimeout is the time without an answer to an append after which new
+	// jobs are refused. A store a hundred times slower than usual still answers in it.
+	appendAnswerTimeout = 700 * time.Millisecond
+	// minStoreRetryAfter and maxStoreRetryAfter bound the retry delay that callers get
+	// while the store is unavailable.
+	minStoreRetryAfter = time.Second
+	maxStoreRetryAfter = 3 * time.Second
 )
 
 // put adds a record to the next append.
@@ -29,135 +29,141 @@
 	e.batch.Records = append(e.batch.Records, record.Record{Key: key, Value: value})
 }
 
-// afterAppend has f called once all that was recorded so far is stored.
-func (e *Engine) afterAppend(f func()) { e.batch.post = append(e.batch.post, f) }
+// afterAppend calls f once all records put so far are stored.
+func (e *Engine) afterAppend(f func()) { e.batch.onStored = append(e.batch.onStored, f) }
 
-// touch has the record of s written with the next append.
-func (e *Engine) touch(s *stepRun) {
-	if _, there := e.dirtyStep[s]; there || s.job().compacted {
+// markDirty has the record of s written with the next append.
+func (e *Engine) markDirty(s *stepRun) {
+	if _, marked := e.dirtySteps[s]; marked || s.job().compacted {
 		return
 	}
-	e.dirtyStep[s] = struct{}{}
-	e.dirtyList = append(e.dirtyList, s)
+	e.dirtySteps[s] = struct{}{}
+	e.dirtyStepList = append(e.dirtyStepList, s)
 }
 
-// flush sends the next append once the one before has ended.
+// flush sends the next append once the previous one has ended.
 func (e *Engine) flush() {
-	if e.inFlight || e.now.Before(e.retryAt) || e.now.Sub(e.sentAt) < appendEvery {
+	if e.appendInFlight || e.now.Before(e.appendRetryAt) || e.now.Sub(e.appendSentAt) < minAppendInterval {
 		return
 	}
-	for _, s := range e.dirtyList {
+	for _, s := range e.dirtyStepList {
 		if !s.job().compacted {
 			e.put(record.StepKey(s.ref), s.encode())
 		}
 	}
-	clear(e.dirtyStep)
-	e.dirtyList = e.dirtyList[:0]
-	if len(e.batch.Records) == 0 && len(e.batch.post) == 0 {
+	clear(e.dirtySteps)
+	e.dirtyStepList = e.dirtyStepList[:0]
+	if len(e.batch.Records) == 0 && len(e.batch.onStored) == 0 {
 		return
 	}
 	batch := e.batch
 	e.batch = &Append{}
 	if len(batch.Records) == 0 {
-		for _, f := range batch.post {
+		for _, f := range batch.onStored {
 			f()
 		}
 		return
 	}
-	e.inFlight = true
-	e.sentAt = e.now
+	e.appendInFlight = true
+	e.appendSentAt = e.now
 	e.emit(batch)
 }
 
+// appended applies the outcome of an append.
 func (e *Engine) appended(ev *Appended) {
-	e.inFlight = false
+	e.appendInFlight = false
 	switch ev.Outcome {
 	case Superseded:
 		e.stepDown("the store has seen a newer leader")
 	case NotStored:
-		e.notStored(ev.Append)
+		e.appendRefused(ev.Append)
 	default:
-		e.storeBack()
-		e.storing += time.Duration(storingWeight * float64(e.now.Sub(e.sentAt)-e.storing))
-		for _, f := range ev.Append.post {
+		e.storeRecovered()
+		e.storeLatency += time.Duration(storeLatencyWeight * float64(e.now.Sub(e.appendSentAt)-e.storeLatency))
+		for _, f := range ev.Append.onStored {
 			f()
 		}
 	}
 }
 
-// notStored takes back a batch that was certainly not stored. Jobs in it are
-// refused, as the store may stay away; all else waits for the next append.
-func (e *Engine) notStored(batch *Append) {
-	if e.storeDown.IsZero() {
-		e.storeDown = e.now
-		e.log.Warn("the store refuses appends", "records", len(batch.Records), "after_ms", e.age(e.sentAt))
+// appendRefused returns a batch that was certainly not stored to the next append. New
+// jobs in it are refused, as the store may stay unavailable.
+func (e *Engine) appendRefused(batch *Append) {
+	if e.storeDownSince.IsZero() {
+		e.storeDownSince = e.now
+		e.log.Warn("store refused append", "records", len(batch.Records), "after_ms", e.msSince(e.appendSentAt))
 	}
-	e.retryAt = e.now.Add(appendPause)
+	e.appendRetryAt = e.now.Add(appendRetryDelay)
 	batch.Records = append(batch.Records, e.batch.Records...)
-	batch.post = append(batch.post, e.batch.post...)
+	batch.onStored = append(batch.onStored, e.batch.onStored...)
 	batch.jobs = append(batch.jobs, e.batch.jobs...)
 	e.batch = batch
-	e.refuseBatch("the store is not in reach")
+	e.refuseBatchJobs("the store is not in reach")
 }
 
-func (e *Engine) storeBack() {
-	if e.storeDown.IsZero() {
+// storeRecovered records that the store accepts appends again.
+func (e *Engine) storeRecovered() {
+	if e.storeDownSince.IsZero() {
 		return
 	}
-	e.log.Info("the store is in reach again", "after_ms", e.age(e.storeDown))
-	e.storeDown = time.Time{}
-	e.retryAt = e.now
+	e.log.Info("store available again", "after_ms", e.msSince(e.storeDownSince))
+	e.storeDownSince = time.Time{}
+	e.appendRetryAt = e.now
 }
 
-// refuseUnstored refuses the jobs that wait behind an append without an answer.
-func (e *Engine) refuseUnstored() {
-	if e.storeSilent() {
-		e.refuseBatch("the store does not answer")
+// refuseUnstoredJobs refuses the jobs that wait behind an append without an answer.
+func (e *Engine) refuseUnstoredJobs() {
+	if e.appendTimedOut() {
+		e.refuseBatchJobs("the store does not answer")
 	}
 }
 
-// unstorable says why no job can be accepted now, if so, and when to come back.
-func (e *Engine) unstorable() (string, time.Duration) {
+// storeUnavailable returns the reason why no job can be stored now, or "", and the retry
+// delay for the caller.
+func (e *Engine) storeUnavailable() (string, time.Duration) {
 	switch {
-	case !e.storeDown.IsZero():
+	case !e.storeDownSince.IsZero():
 		return "the store is not in reach", e.storeRetryAfter()
-	case e.storeSilent():
+	case e.appendTimedOut():
 		return "the store does not answer", e.storeRetryAfter()
 	}
 	return "", 0
 }
 
-// storeSilent reports whether the append under way has had no answer for too long.
-func (e *Engine) storeSilent() bool { return e.inFlight && e.now.Sub(e.sentAt) > slowStore }
+// appendTimedOut reports whether the append in flight has had no answer for longer than
+// appendAnswerTimeout.
+func (e *Engine) appendTimedOut() bool {
+	return e.appendInFlight && e.now.Sub(e.appendSentAt) > appendAnswerTimeout
+}
 
-// storeRetryAfter returns when callers should come back: later the longer the store
-// has been away.
+// storeRetryAfter returns the retry delay for callers. It grows with the time that the
+// store has been unavailable.
 func (e *Engine) storeRetryAfter() time.Duration {
-	away := e.now.Sub(e.sentAt)
-	if !e.storeDown.IsZero() {
-		away = e.now.Sub(e.storeDown)
+	downTime := e.now.Sub(e.appendSentAt)
+	if !e.storeDownSince.IsZero() {
+		downTime = e.now.Sub(e.storeDownSince)
 	}
-	return min(longestStoreRetry, max(storeRetry, away/2))
+	return min(maxStoreRetryAfter, max(minStoreRetryAfter, downTime/2))
 }
 
-// refuseBatch refuses the jobs of the batch that was not sent, and takes their
-// records out of it.
-func (e *Engine) refuseBatch(why string) {
+// refuseBatchJobs refuses the new jobs in the unsent batch and removes their records
+// from it.
+func (e *Engine) refuseBatchJobs(why string) {
 	if len(e.batch.jobs) == 0 {
 		return
 	}
-	after := e.storeRetryAfter()
-	gone := make(map[string]bool, len(e.batch.jobs))
+	retryAfter := e.storeRetryAfter()
+	refused := make(map[string]bool, len(e.batch.jobs))
 	for _, j := range e.batch.jobs {
-		gone[j.id] = true
-		e.refuse(j.spec, why, after, j.waiting...)
-		j.waiting = nil
-		e.forget(j)
+		refused[j.id] = true
+		e.refuse(j.spec, why, retryAfter, j.pendingReplies...)
+		j.pendingReplies = nil
+		e.dropUnstoredJob(j)
 	}
 	e.batch.jobs = nil
 	kept := e.batch.Records[:0]
 	for _, r := range e.batch.Records {
-		if id, step, err := record.ParseKey(r.Key); err == nil && (gone[id] || step != nil && gone[step.Job]) {
+		if id, step, err := record.ParseKey(r.Key); err == nil && (refused[id] || step != nil && refused[step.Job]) {
 			continue
 		}
 		kept = append(kept, r)
@@ -165,9 +171,9 @@
 	e.batch.Records = kept
 }
 
-// forget drops a job that was never stored, with the runs that were planned for it.
-func (e *Engine) forget(j *jobState) {
-	e.taskBegun(j)
+// dropUnstoredJob drops a job that was never stored, and the runs planned for it.
+func (e *Engine) dropUnstoredJob(j *jobState) {
+	e.markStarted(j)
 	j.compacted = true
 	j.state = record.Canceled
 	delete(e.jobs, j.id)
@@ -178,6 +184,6 @@
 			}
 		}
 	})
-	e.timed = slices.DeleteFunc(e.timed, func(other *jobState) bool { return other == j })
-	e.dirty = true
+	e.scheduledJobs = slices.DeleteFunc(e.scheduledJobs, func(other *jobState) bool { return other == j })
+	e.needsPlacement = true
 }
--- a/internal/cell/engine/stragglers.go
+++ b/internal/cell/engine/stragglers.go
@@ -6,35 +6,38 @@
 	"pollenbend/internal/cell/policy"
 )
 
-// A run is a straggler if it makes no progress, or if a second copy started now
-// should end well before it. The engine answers workers that hang or turn slow while
-// they report themselves as sound.
+// A run is a straggler if it makes no progress, or if a speculative run started now is
+// expected to end well before it. This handles workers that hang or become slow while
+// they report themselves as healthy.
 
 const (
-	// watchEvery is the pause between two looks for stragglers.
-	watchEvery = 100 * time.Millisecond
-	// stallLeast is the shortest time without progress that counts as a stall:
-	// longer than the pause between two reports of a busy worker.
-	stallLeast = 2500 * time.Millisecond
-	// stallShare is that time as a part of the time that the whole run should take.
-	stallShare = 0.25
-	// copyGain is how many times as long as a new run the rest of a run must last
-	// before a copy pays.
-	copyGain = 1.6
-	// copyLeast is the progress in percent from which the rest of a run is judged.
-	copyLeast = 5
-	// copiesOfAll is the part of a service's CPU that may be spent on copies.
-	copiesOfAll = 0.04
+	// runCheckInterval is the minimum interval between two checks for stragglers.
+	runCheckInterval = 100 * time.Millisecond
+	// minStallTime is the minimum time without progress that counts as a stall. It is
+	// longer than the interval between two reports of a busy worker.
+	minStallTime = 2500 * time.Millisecond
+	// stallRatio is that time as a part of the expected runtime of the run.
+	stallRatio = 0.25
+	// speculationMinRatio is the minimum ratio of the remaining time of a run to the
+	// expected runtime of a new run for a speculative run to be started.
+	speculationMinRatio = 1.6
+	// minProgressPercent is the minimum progress, in percent, from which the remaining
+	// time of a run is estimated.
+	minProgressPercent = 5
+	// speculativeRatio is the part of a service's CPU that may be used for speculative
+	// runs in a placement round.
+	speculativeRatio = 0.04
 )
 
-// watch looks for stragglers and empties draining workers.
-func (e *Engine) watch() {
-	if e.now.Sub(e.watched) < watchEvery {
+// checkRuns stops stalled runs, requests placement for runs that are worth speculating,
+// and stops runs on draining workers in time.
+func (e *Engine) checkRuns() {
+	if e.now.Sub(e.runsCheckedAt) < runCheckInterval {
 		return
 	}
-	e.watched = e.now
-	for _, w := range e.order {
-		if len(w.runs) == 0 || w.silent > 0 {
+	e.runsCheckedAt = e.now
+	for _, w := range e.workerList {
+		if len(w.runs) == 0 || w.missedRenewals > 0 {
 			continue
 		}
 		for _, r := range w.sortedRuns() {
@@ -44,126 +47,132 @@
 			switch {
 			case e.stalled(r):
 				e.log.Warn("run makes no progress", "job", r.task.step.ref.Job, "task", r.task.name, "run", r.number, "worker", w.id,
-					"percent", r.percent, "still_ms", e.age(r.percentAt), "expected_ms", e.expected(r).Milliseconds())
+					"percent", r.percent, "still_ms", e.msSince(r.progressAt), "expected_ms", e.expectedRuntime(r).Milliseconds())
 				if w.health.stalled(e.now) {
-					e.log.Warn("worker under quarantine", "worker", w.id, "stalls", w.health.stalls, "for_ms", w.health.penalty.Milliseconds())
+					e.log.Warn("worker quarantined", "worker", w.id, "stalls", w.health.stalls, "for_ms", w.health.quarantineTime.Milliseconds())
 				}
 				e.stop(r, "no progress")
-			case w.draining && e.cutOff(r):
+			case w.draining && e.mustEvacuate(r):
 				e.stop(r, "its worker leaves before it ends")
-			case r.task.step.spec.Speculative && len(r.task.runs) == 1 && e.copyPays(r):
-				e.dirty = true
+			case r.task.step.spec.Speculative && len(r.task.runs) == 1 && e.worthSpeculating(r):
+				e.needsPlacement = true
 			}
 		}
 	}
 }
 
-// expected returns how long a run should take from its start to its end.
-func (e *Engine) expected(r *run) time.Duration {
+// expectedRuntime returns the expected runtime of a run from its start to its end.
+func (e *Engine) expectedRuntime(r *run) time.Duration {
 	s := r.task.step
-	return e.pace.expect(s.job().queue, s.spec.Estimate)
+	return e.estimator.expect(s.job().queue, s.spec.Estimate)
 }
 
-// stalled reports whether r has stood still for so long that it is better started
-// elsewhere.
+// stalled reports whether r has made no progress for so long that its task should be
+// started on another worker.
 func (e *Engine) stalled(r *run) bool {
-	if r.percentAt.IsZero() || r.task.step.spec.LongRunning || r.percent >= 99 {
+	if r.progressAt.IsZero() || r.task.step.spec.LongRunning || r.percent >= 99 {
 		return false
 	}
-	if r.task.step.spec.Gang && r.percent == 0 && e.now.Sub(r.begun) < e.cfg.GangWait+stallLeast {
-		return false // it may wait for its other members
+	if r.task.step.spec.Gang && r.percent == 0 && e.now.Sub(r.startSentAt) < e.cfg.GangWait+minStallTime {
+		return false // it may be waiting for the other members
 	}
-	// One step of the percentage takes a hundredth of the run.
-	limit := max(stallLeast, time.Duration(float64(e.expected(r))*stallShare))
-	return e.now.Sub(r.percentAt) > limit && r.worker.answered.After(r.percentAt.Add(limit/2))
+	// One percent of progress takes a hundredth of the runtime.
+	limit := max(minStallTime, time.Duration(float64(e.expectedRuntime(r))*stallRatio))
+	return e.now.Sub(r.progressAt) > limit && r.worker.lastAnswer.After(r.progressAt.Add(limit/2))
 }
 
-// rest returns how long r should still take by its pace so far.
-func (e *Engine) rest(r *run) (time.Duration, bool) {
-	gained := r.percent - r.base
-	if gained < copyLeast || r.percentAt.Before(r.baseAt) {
+// remainingTime returns the remaining time of r, estimated from its progress so far. It
+// reports false if there is too little progress for an estimate.
+func (e *Engine) remaining(r *run) (time.Duration, bool) {
+	gained := r.percent - r.basePercent
+	if gained < minProgressPercent || r.progressAt.Before(r.baseAt) {
 		return 0, false
 	}
-	perPercent := float64(r.percentAt.Sub(r.baseAt)) / float64(gained)
-	rest := time.Duration(perPercent*float64(100-r.percent)) - e.now.Sub(r.percentAt)
-	return max(0, rest), true
+	perPercent := float64(r.progressAt.Sub(r.baseAt)) / float64(gained)
+	remaining := time.Duration(perPercent*float64(100-r.percent)) - e.now.Sub(r.progressAt)
+	return max(0, remaining), true
 }
 
-// cutOff reports whether r is on a draining worker that leaves before r ends, and
-// has to be stopped now to keep its progress. A run that keeps none goes on to the
-// end, as it may still make it.
-func (e *Engine) cutOff(r *run) bool {
-	left := r.worker.leaves.Sub(e.now)
-	rest, known := e.rest(r)
+// mustEvacuate reports whether r, on a draining worker that leaves before r ends, has to
+// be stopped now to keep its progress. A run without checkpoints has nothing to keep and
+// goes on, as it may still finish, unless it needs much longer than the worker stays.
+func (e *Engine) mustEvacuate(r *run) bool {
+	untilLeave := r.worker.leavesAt.Sub(e.now)
+	remaining, known := e.remaining(r)
 	if !known {
-		rest = max(0, e.expected(r)-e.now.Sub(r.begun))
+		remaining = max(0, e.expectedRuntime(r)-e.now.Sub(r.startSentAt))
 	}
-	if rest < left {
+	if remaining < untilLeave {
 		return false
 	}
 	if r.task.step.spec.LongRunning {
 		return true
 	}
 	if !r.task.step.spec.Checkpoints {
-		return rest > left+lingerHope
+		return remaining > untilLeave+drainOverstay
 	}
-	return left < e.cfg.StopTime+evacuateBefore
+	return untilLeave < e.cfg.StopTime+evacuationMargin
 }
 
 const (
-	// evacuateBefore is how long before a worker leaves its runs are stopped, beside
-	// the time that a stop takes: for the look that confirms it.
-	evacuateBefore = 700 * time.Millisecond
-	// lingerHope is how much longer than it promised a draining worker usually stays.
-	lingerHope = 2 * time.Second
+	// evacuationMargin is the time before a worker leaves at which its runs are stopped,
+	// in addition to the time that a stop takes. The renewal that confirms the stop needs
+	// it.
+	evacuationMargin = 700 * time.Millisecond
+	// drainOverstay is how much longer than announced a draining worker usually stays.
+	drainOverstay = 2 * time.Second
 )
 
-// placeCopies starts second copies of stragglers of steps that allow it.
-func (e *Engine) placeCopies(rooms map[string]*room) {
-	for _, w := range e.order {
+// placeSpeculativeRuns plans speculative runs for the stragglers of steps that allow
+// them.
+func (e *Engine) placeSpeculativeRuns(rounds map[string]*placementRound) {
+	for _, w := range e.workerList {
 		for r := range w.runs {
 			s := r.task.step
-			if !s.spec.Speculative || r.phase != running || len(r.task.runs) > 1 || r.task.done || s.job().state.Final() || s.job().overdue {
+			if !s.spec.Speculative || r.phase != running || len(r.task.runs) > 1 || r.task.done || s.job().state.Final() || s.job().overEntitlement {
 				continue
 			}
 			q := e.queueOf(s.job())
-			if q == nil || !e.copyPays(r) {
+			if q == nil || !e.worthSpeculating(r) {
 				continue
 			}
-			rm := rooms[q.Service]
-			if rm == nil {
-				rm = e.roomOf(q.Service)
-				rooms[q.Service] = rm
+			round := rounds[q.Service]
+			if round == nil {
+				round = e.newRound(q.Service)
+				rounds[q.Service] = round
 			}
-			e.placeCopy(r, q, rm)
+			e.placeSpeculativeRun(r, q, round)
 		}
 	}
 }
 
-func (e *Engine) copyPays(r *run) bool {
-	rest, known := e.rest(r)
+// worthSpeculating reports whether a new run of r's task is expected to end well before r.
+func (e *Engine) worthSpeculating(r *run) bool {
+	remaining, known := e.remaining(r)
 	if !known {
 		return false
 	}
-	fresh := e.expected(r)
-	return float64(rest) > copyGain*float64(fresh)
+	fullRuntime := e.expectedRuntime(r)
+	return float64(remaining) > speculationMinRatio*float64(fullRuntime)
 }
 
-func (e *Engine) placeCopy(r *run, q *policy.Queue, rm *room) {
+// placeSpeculativeRun plans a speculative run for the task of r if a worker is free for
+// it.
+func (e *Engine) placeSpeculativeRun(r *run, q *policy.Queue, round *placementRound) {
 	s := r.task.step
-	if rm.copies <= 0 || len(e.withinLimit(s, []*task{r.task})) == 0 {
+	if round.speculativeBudget <= 0 || len(e.withinLimit(s, []*task{r.task})) == 0 {
 		return
 	}
-	for _, w := range e.allowed(s, q, rm) {
+	for _, w := range e.placeableWorkers(s, q, round) {
 		if w == r.worker || !s.charge.Fits(w.free()) || w.health.failures > 0 {
 			continue
 		}
-		if s.spec.MaxPerWorker > 0 && s.present(w) >= s.spec.MaxPerWorker {
+		if s.spec.MaxPerWorker > 0 && s.tasksOn(w) >= s.spec.MaxPerWorker {
 			continue
 		}
-		rm.copies -= s.charge.CPU
-		e.log.Info("second copy", "job", s.ref.Job, "task", r.task.name, "slow_worker", r.worker.id, "percent", r.percent, "worker", w.id)
-		e.plan(r.task, w, r.task.number+1, s.ticket(w.id))
+		round.speculativeBudget -= s.charge.CPU
+		e.log.Info("speculative run", "job", s.ref.Job, "task", r.task.name, "slow_worker", r.worker.id, "percent", r.percent, "worker", w.id)
+		e.planRun(r.task, w, r.task.lastRun+1, s.ticket(w.id))
 		return
 	}
 }
--- a/internal/cell/engine/types.go
+++ b/internal/cell/engine/types.go
@@ -8,234 +8,234 @@
 	"pollenbend/internal/cell/record"
 )
 
-// Listed is a worker as the platform's directory lists it.
+// Listed is a worker's entry in the platform's directory.
 type Listed struct {
 	ID       string
-	Life     int64 // tells two lives under one id apart; zero if it is not known
+	Life     int64 // incarnation of the worker's process; zero if unknown
 	Address  string
 	Service  string
 	Zone     string
 	Labels   []string
 	Capacity job.Resources
 	Draining bool
-	Leaves   time.Duration // least time until a draining worker leaves
+	Leaves   time.Duration // minimum time until a draining worker leaves
 }
 
-// How is how a run ended.
+// How is the way in which a run ended.
 type How uint8
 
-// Ends of a run.
+// The ways in which a run ends.
 const (
 	EndedUnknown How = iota
 	EndedDone
-	EndedFailed  // by its own fault or the worker's
-	EndedStopped // by an order
-	EndedLapsed  // the lease ran out
+	EndedFailed  // because of the task or of the worker
+	EndedStopped // by a stop command
+	EndedLapsed  // the lease expired
 	EndedBroken  // another member of the gang ended
-	EndedAlone   // the other members of the gang did not come in time
+	EndedAlone   // the other members of the gang did not start in time
 )
 
 var howNames = [...]string{"unknown", "done", "failed", "stopped", "lapsed", "broken", "alone"}
 
-// String returns the word used in logs.
+// String returns the name of h that logs use.
 func (h How) String() string { return howNames[h] }
 
-// RunStatus is one run that a worker reports as present.
+// RunStatus is a run that a worker reports as running.
 type RunStatus struct {
 	Task       string
 	Run        int
 	Checkpoint string
-	Percent    int
-	Usage      int64 // tail latency in ms of a serving task, CPU in use of any other
+	Percent    int   // progress
+	Usage      int64 // tail latency in ms of a serving task, CPU in use of any other task
 }
 
-// RunEnd is one end that a worker reports.
+// RunEnd is a finished run that a worker reports.
 type RunEnd struct {
-	Number     int64 // position in the worker's list of ends
+	Number     int64 // position in the worker's list of finished runs
 	Task       string
 	Run        int
 	How        How
 	Checkpoint string
 }
 
-// Report is a worker's answer to a look at it.
+// Report is a worker's answer to a renewal.
 type Report struct {
-	Life    int64
+	Life    int64 // the worker's incarnation
 	Clock   int64 // the worker's clock, in ms
 	Running []RunStatus
 	Ended   []RunEnd
 }
 
-// Refusal says why a worker did not carry out an order.
+// Refusal is the reason why a worker did not carry out a command.
 type Refusal uint8
 
-// Refusals.
+// The refusals of a worker.
 const (
 	Accepted  Refusal = iota
-	Unknown           // no answer: the order may be carried out, now or later
+	Unknown           // no answer: the command may be carried out, now or later
 	Fenced            // the worker has seen a newer leader
-	OldRun            // that run, or a newer one, has ended there
-	TooLate           // the lease in the order had passed
-	NoRoom            // the worker guards its capacity
+	OldRun            // this run, or a newer one of the task, has ended on the worker
+	TooLate           // the deadline in the command had passed
+	NoRoom            // the run would exceed the worker's capacity
 	BadTicket         // the adviser's ticket is not valid
-	OtherLife         // the worker was started again
-	Unhealthy         // the worker refuses work
-	Invalid           // the order is malformed
+	OtherLife         // the command names another incarnation of the worker
+	Unhealthy         // the worker reports that it accepts no work
+	Invalid           // the command is malformed
 )
 
 var refusalNames = [...]string{"accepted", "unknown", "fenced", "old_run", "too_late", "no_room", "bad_ticket", "other_life", "unhealthy", "invalid"}
 
-// String returns the word used in logs.
+// String returns the name of r that logs use.
 func (r Refusal) String() string { return refusalNames[r] }
 
-// AppendOutcome is what is known of an append.
+// AppendOutcome is the known outcome of an append.
 type AppendOutcome uint8
 
-// Outcomes of an append.
+// The outcomes of an append.
 const (
-	Stored AppendOutcome = iota
-	NotStored
-	Superseded // another leader has taken over
+	Stored     AppendOutcome = iota
+	NotStored                // certainly not stored
+	Superseded               // another leader has taken over
 )
 
-// Events.
+// Events that Engine.Handle takes.
 type (
-	// Submit asks to accept a job. Reply is called once.
+	// Submit asks the engine to accept a job. Reply is called once.
 	Submit struct {
 		Spec  *job.Spec
 		Reply func(Answer)
 	}
-	// Cancel asks to cancel a job.
+	// Cancel asks the engine to cancel a job.
 	Cancel struct {
 		ID, Team string
 		Reply    func(Answer)
 	}
-	// Status asks how a job stands.
+	// Status asks for the state of a job.
 	Status struct {
 		ID, Team string
 		Reply    func(Answer)
 	}
-	// Pending asks how many jobs of a queue have not begun.
+	// Pending asks how many jobs of a queue have not started.
 	Pending struct {
 		Queue string
 		Reply func(Answer)
 	}
-	// PolicyChanged brings a version of the declarations.
+	// PolicyChanged carries a new version of the declarations.
 	PolicyChanged struct{ Policy *policy.Policy }
-	// WorkersListed brings the whole directory of workers.
+	// WorkersListed carries the complete directory of workers.
 	WorkersListed struct{ Workers []Listed }
-	// Looked is the outcome of a Look. Report is nil if there was no answer.
+	// Looked is the outcome of a renewal (Look). Report is nil if there was no answer.
 	Looked struct {
 		Worker string
-		Life   int64
-		Sent   time.Time
+		Life   int64     // incarnation that the renewal named
+		Sent   time.Time // when the renewal was sent
 		Report *Report
-		Fenced bool
-		// OtherLife is set when the worker answered that it is another life.
+		Fenced bool // the worker has seen a newer leader
+		// OtherLife reports whether the worker answered that it is another incarnation.
 		OtherLife bool
 	}
 	// StartAnswered is the outcome of a Start.
 	StartAnswered struct {
 		Start   *Start
 		Refusal Refusal
-		Life    int64 // of the worker that answered, zero if unknown
-		Clock   int64
+		Life    int64 // incarnation of the worker that answered, zero if unknown
+		Clock   int64 // the worker's clock, in ms
 	}
 	// StopAnswered is the outcome of a Stop.
 	StopAnswered struct {
 		Stop    *Stop
 		Refusal Refusal
-		Life    int64
+		Life    int64 // incarnation of the worker that answered, zero if unknown
 	}
-	// Advised is the outcome of an Ask.
+	// Advised is the outcome of a call to the adviser (Ask).
 	Advised struct {
 		Ask  *Ask
 		Good map[string]string // ticket by worker
-		OK   bool
-		TTL  time.Duration
+		OK   bool              // the call succeeded
+		TTL  time.Duration     // how long the tickets are valid
 	}
 	// Appended is the outcome of an Append.
 	Appended struct {
 		Append  *Append
 		Outcome AppendOutcome
 	}
-	// StoreAnswered tells that the store is in reach again.
+	// StoreAnswered reports that the store is reachable again.
 	StoreAnswered struct{}
-	// ArmsChanged brings the instances that can call the adviser.
+	// ArmsChanged carries the delegates: the instances that can call the adviser.
 	ArmsChanged struct{ Arms []string }
 )
 
-// Actions.
+// Actions that Engine.Settle returns.
 type (
-	// Append stores records, all or none.
+	// Append stores all of the records or none.
 	Append struct {
-		Records []record.Record
-		post    []func()
-		jobs    []*jobState // whose acceptance is among the records
+		Records  []record.Record
+		onStored []func()
+		jobs     []*jobState // jobs whose acceptance is among the records
 	}
-	// Start orders a worker to run a task.
+	// Start is a command to a worker to run a task.
 	Start struct {
 		Worker     string
 		Address    string
-		Life       int64
+		Life       int64 // incarnation of the worker that the command is meant for
 		Task       string
 		Run        int
 		Payload    string
-		Deadline   int64 // on the worker's clock, in ms
+		Deadline   int64 // end of the lease on the worker's clock, in ms
 		Checkpoint string
 		Ticket     string
 		Timeout    time.Duration // for an answer
 		run        *run
 	}
-	// Stop orders a worker to end a run.
+	// Stop is a command to a worker to end a run.
 	Stop struct {
 		Worker  string
 		Address string
-		Life    int64
+		Life    int64 // incarnation of the worker that the command is meant for
 		Task    string
 		Run     int
 		Timeout time.Duration // for an answer
 		run     *run
 	}
-	// Look extends the lease of all that a worker runs, confirms the ends up to
-	// Cursor, and asks what it runs.
+	// Look is a renewal: it extends the lease of all runs on a worker, acknowledges
+	// the finished runs up to Cursor and asks which runs the worker has.
 	Look struct {
 		Worker   string
 		Address  string
-		Life     int64
-		Deadline int64 // on the worker's clock; zero to leave the lease alone
-		Cursor   int64
-		Wait     time.Duration // the worker may hold back its answer as long
+		Life     int64         // incarnation of the worker that the renewal is meant for
+		Deadline int64         // end of the lease on the worker's clock, in ms; zero leaves the lease as it is
+		Cursor   int64         // number of the last finished run that is stored
+		Wait     time.Duration // maximum time that the worker may delay its answer
 		Timeout  time.Duration // for an answer
 	}
-	// Ask calls the adviser of a step from the instance Arm.
+	// Ask is a call to the adviser about a step, which the delegate Arm makes.
 	Ask struct {
-		Arm     string
+		Arm     string // name of an instance
 		Step    string
 		Workers []string
-		Cost    time.Duration
+		Cost    time.Duration // expected duration of the call
 		step    *stepRun
-		sent    time.Time
+		sentAt  time.Time
 	}
-	// StepDown tells that another leader has taken over.
+	// StepDown reports that another leader has taken over.
 	StepDown struct{ Why string }
 )
 
-// Outcome of a caller's request.
+// Outcome is the outcome of a caller's request.
 type Outcome uint8
 
-// Outcomes.
+// The outcomes of a request.
 const (
 	OK Outcome = iota
 	Refused
 	NotFound
 )
 
-// Answer is the final answer to a caller.
+// Answer is the final answer to a caller's request.
 type Answer struct {
 	Outcome    Outcome
-	State      string // of a job
-	Pending    int
-	Why        string
-	RetryAfter time.Duration
+	State      string        // of a job, one of the State constants
+	Pending    int           // jobs of a queue that have not started
+	Why        string        // reason for a refusal
+	RetryAfter time.Duration // delay before a refused request is worth repeating; zero if none is known
 }
--- a/internal/cell/engine/workers.go
+++ b/internal/cell/engine/workers.go
@@ -8,92 +8,93 @@
 	"pollenbend/internal/cell/job"
 )
 
-// worker is what is known of one worker.
+// worker is the leader's view of a worker.
 type worker struct {
-	id       string
-	life     int64
-	address  string
-	service  string
-	rack     string
-	labels   []string
-	capacity job.Resources
-	used     job.Resources
-	held     job.Resources // kept free for gangs, in this round of placement
-	runs     map[*run]struct{}
+	id           string
+	incarnation  int64
+	address      string
+	service      string
+	rack         string
+	labels       []string
+	capacity     job.Resources
+	used         job.Resources
+	heldForGangs job.Resources // kept free for gangs in this placement round
+	runs         map[*run]struct{}
 
-	listed   bool
-	unlisted time.Time // when the directory last dropped it
-	draining bool
-	leaves   time.Time // earliest time at which a draining worker leaves
+	listed        bool
+	unlistedSince time.Time // when it last left the directory
+	draining      bool
+	leavesAt      time.Time // earliest time at which a draining worker leaves
 
-	clock    int64     // of the worker, ms, at the last answer
-	clockAt  time.Time // when that answer came
-	leaseEnd int64     // latest lease asked for, on the worker's clock, ms
-	looked   bool      // it has answered this leader in this life
-	lookBusy bool
-	lookSent time.Time
-	lookNext time.Time
-	answered time.Time // last answer
-	silent   int       // looks without an answer in a row
-	lookSoon bool
-	cursor   int64 // ends up to here are stored
-	seen     int64 // ends up to here are applied
-	unstored int   // batches of ends that are being stored
-	strays   int   // runs in the last report that nobody here knows, whose size is not known
-	health   health
+	clock            int64     // the worker's clock at the last answer, in ms
+	clockAt          time.Time // when that answer arrived
+	leaseEnd         int64     // latest end of a lease that was requested, on the worker's clock, in ms
+	reported         bool      // it has answered a renewal of this leader in this incarnation
+	renewalInFlight  bool
+	renewalSentAt    time.Time
+	nextRenewal      time.Time
+	lastAnswer       time.Time // when the last answer arrived
+	missedRenewals   int       // consecutive renewals without an answer
+	renewWithoutWait bool
+	cursor           int64 // number of the last finished run that is stored
+	appliedCursor    int64 // number of the last finished run that is applied
+	unstoredBatches  int   // batches of finished runs that are being stored
+	unknownRuns      int   // unknown runs in the last report; their resource use is unknown too
+	health           health
 }
 
-// clockDrift is how much slower or faster than true time a worker's clock may
-// run, by the platform's promise.
+// clockDrift is the maximum relative error of the rate of a worker's clock, which the
+// platform guarantees.
 const clockDrift = 0.02
 
 func newWorker(id string) *worker {
 	return &worker{id: id, runs: make(map[*run]struct{})}
 }
 
-// now returns the lowest value that the worker's clock may show.
-func (w *worker) now(at time.Time) int64 {
+// minClock returns the lowest value that the worker's clock can have, in ms.
+func (w *worker) minClock(at time.Time) int64 {
 	return w.clock + int64(float64(at.Sub(w.clockAt).Milliseconds())*(1-clockDrift))
 }
 
-// noteClock takes over what an answer said of the clock.
+// noteClock records the worker's clock from an answer that arrived at the given time.
 func (w *worker) noteClock(clock int64, at time.Time) {
 	if clock <= 0 {
 		return
 	}
 	w.clock, w.clockAt = clock, at
-	w.answered = at
-	w.silent = 0
+	w.lastAnswer = at
+	w.missedRenewals = 0
 }
 
-// lapses returns when all that the worker runs has certainly lapsed if it is not
-// reached again.
-func (w *worker) lapses() time.Time {
-	left := time.Duration(float64(w.leaseEnd-w.clock)/(1-clockDrift)) * time.Millisecond
-	return w.clockAt.Add(max(0, left))
+// leasesLapseAt returns when the leases of all runs on the worker have certainly
+// expired if the worker is not reached again.
+func (w *worker) leasesLapseAt() time.Time {
+	remaining := time.Duration(float64(w.leaseEnd-w.clock)/(1-clockDrift)) * time.Millisecond
+	return w.clockAt.Add(max(0, remaining))
 }
 
-// lease returns the deadline to ask for.
-func (w *worker) lease(length time.Duration, at time.Time) int64 {
+// extendLease returns the end, on the worker's clock in ms, of a lease of the given
+// length, and records it. It returns zero while the worker's clock is unknown.
+func (w *worker) extendLease(length time.Duration, at time.Time) int64 {
 	if w.clockAt.IsZero() {
 		return 0
 	}
-	end := w.now(at) + length.Milliseconds()
+	end := w.minClock(at) + length.Milliseconds()
 	if end > w.leaseEnd {
 		w.leaseEnd = end
 	}
 	return end
 }
 
-// free returns what is left for new tasks.
-func (w *worker) free() job.Resources { return w.capacity.Sub(w.used).Sub(w.held) }
+// free returns the resources that are free for new tasks.
+func (w *worker) free() job.Resources { return w.capacity.Sub(w.used).Sub(w.heldForGangs) }
 
-// mayHold reports whether w could run a task of s when it is empty.
-func (w *worker) mayHold(s *job.Step) bool {
+// canHold reports whether w could run a task of s if it were idle.
+func (w *worker) canHold(s *job.Step) bool {
 	return s.Charge().Fits(w.capacity) && (s.Label == "" || slices.Contains(w.labels, s.Label))
 }
 
-// rackOf returns the label that names a rack.
+// rackOf returns the label that names a rack, or "".
 func rackOf(labels []string) string {
 	for _, l := range labels {
 		if strings.HasPrefix(l, "r") && strings.Contains(l, "-") {
@@ -105,10 +106,10 @@
 
 // usable reports whether new tasks may be sent to w.
 func (w *worker) usable(now time.Time) bool {
-	return w.listed && !w.draining && w.looked && w.silent == 0 && w.strays == 0 && !w.health.quarantined(now)
+	return w.listed && !w.draining && w.reported && w.missedRenewals == 0 && w.unknownRuns == 0 && !w.health.quarantined(now)
 }
 
-// workersListed takes over the directory.
+// workersListed applies the directory of workers.
 func (e *Engine) workersListed(list []Listed) {
 	present := make(map[string]bool, len(list))
 	for i := range list {
@@ -118,74 +119,75 @@
 		if w == nil {
 			w = newWorker(l.ID)
 			e.workers[l.ID] = w
-			e.order = append(e.order, w)
+			e.workerList = append(e.workerList, w)
 			e.log.Info("worker found", "worker", l.ID, "life", l.Life, "service", l.Service, "zone", l.Zone)
 		}
 		e.workerListed(w, l)
 	}
-	for _, w := range e.order {
+	for _, w := range e.workerList {
 		if w.listed && !present[w.id] {
 			w.listed = false
-			w.unlisted = e.now
-			e.log.Info("worker no longer listed", "worker", w.id, "runs", len(w.runs), "last_answer_ms", e.age(w.answered))
+			w.unlistedSince = e.now
+			e.log.Info("worker no longer listed", "worker", w.id, "runs", len(w.runs), "last_answer_ms", e.msSince(w.lastAnswer))
 		}
 	}
 	e.forgetWorkers()
 }
 
+// workerListed applies the directory's entry of a worker.
 func (e *Engine) workerListed(w *worker, l *Listed) {
-	if l.Life != 0 && w.life != 0 && l.Life < w.life {
-		return // an entry from before the worker's restart
+	if l.Life != 0 && w.incarnation != 0 && l.Life < w.incarnation {
+		return // the entry is older than the worker's restart
 	}
-	if l.Life != 0 && w.life != 0 && l.Life > w.life {
-		e.newLife(w, l.Life, "directory")
+	if l.Life != 0 && w.incarnation != 0 && l.Life > w.incarnation {
+		e.newIncarnation(w, l.Life, "directory")
 	}
-	if w.life == 0 {
-		w.life = l.Life
+	if w.incarnation == 0 {
+		w.incarnation = l.Life
 	}
 	w.listed = true
 	w.address, w.service, w.labels, w.capacity = l.Address, l.Service, l.Labels, l.Capacity
 	w.rack = rackOf(l.Labels)
 	if l.Draining && !w.draining {
-		w.leaves = e.now.Add(l.Leaves)
+		w.leavesAt = e.now.Add(l.Leaves)
 		e.log.Info("worker draining", "worker", w.id, "leaves_ms", l.Leaves.Milliseconds(), "runs", len(w.runs))
 	}
 	if w.draining != l.Draining {
 		w.draining = l.Draining
-		e.dirty = true
+		e.needsPlacement = true
 	}
 }
 
-// newLife drops all that ran on the life of w before.
-func (e *Engine) newLife(w *worker, life int64, source string) {
-	e.log.Info("worker started anew", "worker", w.id, "life", life, "before", w.life, "source", source, "runs", len(w.runs))
+// newIncarnation switches w to a new incarnation and ends the runs of the previous one.
+func (e *Engine) newIncarnation(w *worker, incarnation int64, source string) {
+	e.log.Info("worker restarted", "worker", w.id, "life", incarnation, "before", w.incarnation, "source", source, "runs", len(w.runs))
 	for _, r := range w.sortedRuns() {
-		if r.life != life {
+		if r.incarnation != incarnation {
 			e.endRun(r, EndedLapsed, "", "worker restarted")
 		}
 	}
-	w.life = life
-	w.looked = false
-	w.strays = 0
+	w.incarnation = incarnation
+	w.reported = false
+	w.unknownRuns = 0
 	w.draining = false
-	w.cursor, w.seen = 0, 0
+	w.cursor, w.appliedCursor = 0, 0
 	w.clock, w.clockAt, w.leaseEnd = 0, time.Time{}, 0
-	w.lookNext = e.now
+	w.nextRenewal = e.now
 	w.health = health{}
-	e.dirty = true
+	e.needsPlacement = true
 }
 
-// forgetWorkers drops workers that are gone and run nothing.
+// forgetWorkers drops idle workers that left the directory more than ForgetWorker ago.
 func (e *Engine) forgetWorkers() {
-	kept := e.order[:0]
-	for _, w := range e.order {
-		if !w.listed && len(w.runs) == 0 && w.unstored == 0 && e.now.Sub(w.unlisted) > e.cfg.ForgetWorker {
+	kept := e.workerList[:0]
+	for _, w := range e.workerList {
+		if !w.listed && len(w.runs) == 0 && w.unstoredBatches == 0 && e.now.Sub(w.unlistedSince) > e.cfg.ForgetWorker {
 			delete(e.workers, w.id)
 			continue
 		}
 		kept = append(kept, w)
 	}
-	e.order = kept
+	e.workerList = kept
 }
 
 // sortedRuns returns the runs on w in a stable order.
@@ -198,118 +200,121 @@
 	return runs
 }
 
-// lookAtWorkers sends the looks that are due.
-func (e *Engine) lookAtWorkers() {
-	for _, w := range e.order {
-		if w.lookBusy || e.now.Before(w.lookNext) || w.address == "" {
+// sendRenewals sends the renewals that are due.
+func (e *Engine) sendRenewals() {
+	for _, w := range e.workerList {
+		if w.renewalInFlight || e.now.Before(w.nextRenewal) || w.address == "" {
 			continue
 		}
-		if !w.listed && len(w.runs) == 0 && e.now.Sub(w.unlisted) > e.cfg.UnlistedLooks {
+		if !w.listed && len(w.runs) == 0 && e.now.Sub(w.unlistedSince) > e.cfg.UnlistedLooks {
 			continue
 		}
-		if w.unstored > 0 && e.now.Sub(w.lookSent) < e.cfg.LookWait {
-			continue // the ends that it would list again are being stored
+		if w.unstoredBatches > 0 && e.now.Sub(w.renewalSentAt) < e.cfg.LookWait {
+			continue // it would report finished runs again that are being stored
 		}
-		e.look(w)
+		e.renew(w)
 	}
 }
 
-func (e *Engine) look(w *worker) {
-	w.lookBusy = true
-	w.lookSent = e.now
+// renew sends a renewal to w.
+func (e *Engine) renew(w *worker) {
+	w.renewalInFlight = true
+	w.renewalSentAt = e.now
 	wait := e.cfg.LookWait
-	if !w.looked || w.silent > 0 || w.lookSoon || w.unstored > 0 {
+	if !w.reported || w.missedRenewals > 0 || w.renewWithoutWait || w.unstoredBatches > 0 {
 		wait = 0
 	}
-	w.lookSoon = false
+	w.renewWithoutWait = false
 	deadline := int64(0)
-	if len(w.runs) > 0 && w.looked && w.silent == 0 {
-		// A worker that does not answer gets no longer lease, so that its runs are
-		// certainly over some time after the last answer.
-		deadline = w.lease(e.cfg.Lease, e.now)
+	if len(w.runs) > 0 && w.reported && w.missedRenewals == 0 {
+		// The lease of a worker that does not answer is not extended, so that its runs
+		// have certainly ended some time after the last answer.
+		deadline = w.extendLease(e.cfg.Lease, e.now)
 	}
-	e.emit(&Look{Worker: w.id, Address: w.address, Life: w.life, Deadline: deadline, Cursor: w.cursor, Wait: wait, Timeout: wait + lookSlack})
+	e.emit(&Look{Worker: w.id, Address: w.address, Life: w.incarnation, Deadline: deadline, Cursor: w.cursor, Wait: wait, Timeout: wait + renewalAnswerTimeout})
 }
 
-// lookSlack is how much longer than it may hold back its answer a worker may take.
-// It answers within a few milliseconds when it is sound, and an end that it lists
-// goes unseen until the next look.
-const lookSlack = 300 * time.Millisecond
+// renewalAnswerTimeout is the timeout of a renewal beyond the time that the worker may
+// delay its answer. A healthy worker answers within a few milliseconds, and the ends
+// in a lost answer stay unknown until the next renewal.
+const renewalAnswerTimeout = 300 * time.Millisecond
 
-// strayLook is the pause between looks at a worker with runs that nobody knows.
-const strayLook = 50 * time.Millisecond
+// unknownRunRenewalDelay is the delay before the next renewal of a worker that reported
+// unknown runs.
+const unknownRunRenewalDelay = 50 * time.Millisecond
 
-// looked takes in the outcome of a look.
-func (e *Engine) looked(ev *Looked) {
+// renewalAnswered applies the outcome of a renewal.
+func (e *Engine) renewalAnswered(ev *Looked) {
 	w := e.workers[ev.Worker]
 	if w == nil {
 		return
 	}
-	w.lookBusy = false
+	w.renewalInFlight = false
 	if ev.Fenced {
 		e.stepDown("worker " + w.id + " has seen a newer leader")
 		return
 	}
 	if ev.Report == nil {
-		e.lookFailed(w, ev)
+		e.renewalFailed(w, ev)
 		return
 	}
-	if ev.Report.Life != 0 && ev.Report.Life != w.life {
-		if w.life != 0 && ev.Report.Life < w.life {
+	if ev.Report.Life != 0 && ev.Report.Life != w.incarnation {
+		if w.incarnation != 0 && ev.Report.Life < w.incarnation {
 			return
 		}
-		if w.life != 0 {
-			e.newLife(w, ev.Report.Life, "look")
+		if w.incarnation != 0 {
+			e.newIncarnation(w, ev.Report.Life, "renewal")
 		}
-		w.life = ev.Report.Life
+		w.incarnation = ev.Report.Life
 	}
-	first := !w.looked
-	if w.silent > 0 {
-		e.log.Info("worker answers again", "worker", w.id, "silent_ms", e.age(w.answered))
-		e.dirty = true
+	first := !w.reported
+	if w.missedRenewals > 0 {
+		e.log.Info("worker answers again", "worker", w.id, "silent_ms", e.msSince(w.lastAnswer))
+		e.needsPlacement = true
 	}
 	w.noteClock(ev.Report.Clock, e.now)
 	if first {
-		// An earlier leader may have asked for the longest lease just before.
+		// An earlier leader may have requested the maximum lease just before.
 		w.leaseEnd = max(w.leaseEnd, ev.Report.Clock+e.cfg.MaxLease.Milliseconds())
 	}
-	w.looked = true
+	w.reported = true
 	for _, r := range w.sortedRuns() {
-		if r.life != 0 && w.life != 0 && r.life != w.life {
+		if r.incarnation != 0 && w.incarnation != 0 && r.incarnation != w.incarnation {
 			e.endRun(r, EndedLapsed, "", "worker restarted")
 		}
 	}
 	e.applyEnds(w, ev.Report)
 	e.applyRunning(w, ev)
 	if first {
-		e.dirty = true
-		w.lookNext = e.now
-		e.log.Info("worker looked at", "worker", w.id, "life", w.life, "running", len(ev.Report.Running), "ended", len(ev.Report.Ended))
+		e.needsPlacement = true
+		w.nextRenewal = e.now
+		e.log.Info("worker reported", "worker", w.id, "life", w.incarnation, "running", len(ev.Report.Running), "ended", len(ev.Report.Ended))
 		return
 	}
-	w.lookNext = e.now
+	w.nextRenewal = e.now
 	switch {
-	case w.strays > 0:
-		w.lookNext = e.now.Add(strayLook) // the worker is closed until they are gone
+	case w.unknownRuns > 0:
+		w.nextRenewal = e.now.Add(unknownRunRenewalDelay) // the worker gets no tasks until these runs have ended
 	case len(w.runs) == 0:
-		w.lookNext = e.now.Add(e.cfg.IdleLook)
+		w.nextRenewal = e.now.Add(e.cfg.IdleLook)
 	}
 }
 
-func (e *Engine) lookFailed(w *worker, ev *Looked) {
-	w.silent++
-	w.lookNext = e.now.Add(e.cfg.LookRetry)
-	if w.silent == 1 {
-		w.lookNext = e.now // the answer may have been lost, and ends with it
-		e.log.Warn("worker does not answer", "worker", w.id, "life", w.life, "runs", len(w.runs), "last_answer_ms", e.age(w.answered))
+// renewalFailed handles a renewal without a report.
+func (e *Engine) renewalFailed(w *worker, ev *Looked) {
+	w.missedRenewals++
+	w.nextRenewal = e.now.Add(e.cfg.LookRetry)
+	if w.missedRenewals == 1 {
+		w.nextRenewal = e.now // the answer, and with it ends of runs, may have been lost
+		e.log.Warn("worker does not answer", "worker", w.id, "life", w.incarnation, "runs", len(w.runs), "last_answer_ms", e.msSince(w.lastAnswer))
 	}
-	if ev.OtherLife && ev.Life == w.life && w.life != 0 {
-		// The entry in the directory is older than the worker's restart; its next
-		// report tells the new life.
-		w.life = 0
+	if ev.OtherLife && ev.Life == w.incarnation && w.incarnation != 0 {
+		// The directory's entry is older than the worker's restart. The worker's next
+		// report contains the new incarnation.
+		w.incarnation = 0
 		for _, r := range w.sortedRuns() {
 			e.endRun(r, EndedLapsed, "", "worker restarted")
 		}
-		w.looked = false
+		w.reported = false
 	}
 }
