--- a/internal/cell/engine/admit.go
+++ b/internal/cell/engine/admit.go
@@ -35,7 +35,7 @@
 // neverFits returns the reason why the job could never run, or "": one of its steps is
 // larger than its team's limit or than any worker.
 func (e *Engine) neverFits(spec *job.Spec, q *policy.Queue) string {
-	if len(e.workerList) == 0 || e.now.Sub(e.started) < e.cfg.MaxLease {
+	if len(e.workerList) == 0 || e.now.Sub(e.startedAt) < e.cfg.MaxLease {
 		return "" // some workers may not be known yet
 	}
 	team := e.policy.Team(spec.Team)
@@ -68,8 +68,8 @@
 // tokenBucket meters the jobs of a team against its entitlement, which is the team's
 // weight in jobs per second.
 type tokenBucket struct {
-	tokens float64
-	at     time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
 // entitlementBurst is the time of a team's entitlement that it may use in a burst.
@@ -78,11 +78,11 @@
 // hasToken reports whether one more job of the team would be within its entitlement.
 func (e *Engine) hasToken(name string) bool {
 	team := e.policy.Team(name)
-	a := e.entitlements[name]
-	if team == nil || team.Weight <= 0 || a == nil {
+	bucket := e.entitlements[name]
+	if team == nil || team.Weight <= 0 || bucket == nil {
 		return true
 	}
-	return a.tokens+team.Weight*e.now.Sub(a.at).Seconds() >= 1
+	return bucket.tokens+team.Weight*e.now.Sub(bucket.refilledAt).Seconds() >= 1
 }
 
 // takeToken counts one more job of the team and reports whether it is within the team's
@@ -93,16 +93,16 @@
 		return true
 	}
 	burst := team.Weight * entitlementBurst.Seconds()
-	a := e.entitlements[name]
-	if a == nil {
-		a = &tokenBucket{tokens: burst, at: e.now}
-		e.entitlements[name] = a
+	bucket := e.entitlements[name]
+	if bucket == nil {
+		bucket = &tokenBucket{tokens: burst, refilledAt: e.now}
+		e.entitlements[name] = bucket
 	}
-	a.tokens = min(burst, a.tokens+team.Weight*e.now.Sub(a.at).Seconds())
-	a.at = e.now
-	if a.tokens < 1 {
+	bucket.tokens = min(burst, bucket.tokens+team.Weight*e.now.Sub(bucket.refilledAt).Seconds())
+	bucket.refilledAt = e.now
+	if bucket.tokens < 1 {
 		return false
 	}
-	a.tokens--
+	bucket.tokens--
 	return true
 }
--- a/internal/cell/engine/advising.go
+++ b/internal/cell/engine/advising.go
@@ -187,9 +187,9 @@
 	if s.spec.Gang {
 		validUntil = validUntil.Add(q.Advice.Of(min(need, maxWorkersPerCall)))
 	}
-	validTasks, lapsedTasks, lapsedWorkers := e.ticketCapacity(s, validUntil)
-	if validTasks+lapsedTasks >= need || !s.spec.Gang && lapsedTasks > 0 {
-		return largestFirst(s, lapsedWorkers, need-validTasks)
+	validTasks, expiredTasks, expiredWorkers := e.ticketCapacity(s, validUntil)
+	if validTasks+expiredTasks >= need || !s.spec.Gang && expiredTasks > 0 {
+		return largestFirst(s, expiredWorkers, need-validTasks)
 	}
 	var unasked []*worker
 	for _, w := range s.eligible(round) {
@@ -203,19 +203,19 @@
 // ticketCapacity returns how many waiting tasks of s fit now on good workers whose
 // tickets are valid at the given time, and on the good workers with expired tickets. It
 // also returns those of the latter that a task fits on.
-func (e *Engine) ticketCapacity(s *stepRun, until time.Time) (validTasks, lapsedTasks int, lapsedWorkers []*worker) {
+func (e *Engine) ticketCapacity(s *stepRun, at time.Time) (validTasks, expiredTasks int, expiredWorkers []*worker) {
 	for _, w := range e.goodWorkers(s) {
 		n := tasksThatFit(s, w, w.free())
 		switch {
 		case n == 0:
-		case e.ticketValidAt(s.advice.good[w.id], until):
+		case e.ticketValidAt(s.advice.good[w.id], at):
 			validTasks += n
 		default:
-			lapsedTasks += n
-			lapsedWorkers = append(lapsedWorkers, w)
+			expiredTasks += n
+			expiredWorkers = append(expiredWorkers, w)
 		}
 	}
-	return validTasks, lapsedTasks, lapsedWorkers
+	return validTasks, expiredTasks, expiredWorkers
 }
 
 // tasksThatFit returns how many waiting tasks of s fit into the resources free of w.
@@ -314,8 +314,8 @@
 // take it.
 func (e *Engine) chooseDelegate(cost time.Duration) *delegate {
 	loads := make([]*advice.Arm, len(e.delegates))
-	for i, a := range e.delegates {
-		loads[i] = &a.Arm
+	for i, d := range e.delegates {
+		loads[i] = &d.Arm
 	}
 	i := advice.Choose(loads, e.now, cost)
 	if i < 0 {
@@ -327,13 +327,14 @@
 // adviceRetryDelay is the delay after a failed call to the adviser.
 const adviceRetryDelay = 30 * time.Millisecond
 
+// advised applies the outcome of a call to the adviser.
 func (e *Engine) advised(ev *Advised) {
 	s := ev.Ask.step
 	s.advice.callsInFlight--
 	e.needsPlacement = true
-	for _, a := range e.delegates {
-		if a.name == ev.Ask.Arm {
-			a.Done(e.now, ev.Ask.Cost, ev.OK)
+	for _, d := range e.delegates {
+		if d.name == ev.Ask.Arm {
+			d.Done(e.now, ev.Ask.Cost, ev.OK)
 		}
 	}
 	if !ev.OK {
@@ -379,19 +380,20 @@
 	e.goodShares[queue] = old + goodShareWeight*(share-old)
 }
 
+// delegatesChanged replaces the delegates and keeps the load of those that stay.
 func (e *Engine) delegatesChanged(names []string) {
 	known := make(map[string]*delegate, len(e.delegates))
-	for _, a := range e.delegates {
-		known[a.name] = a
+	for _, d := range e.delegates {
+		known[d.name] = d
 	}
 	delegates := make([]*delegate, 0, len(names))
 	for _, name := range names {
-		a := known[name]
-		if a == nil {
-			a = &delegate{name: name}
+		d := known[name]
+		if d == nil {
+			d = &delegate{name: name}
 			e.log.Info("delegate added", "arm", name)
 		}
-		delegates = append(delegates, a)
+		delegates = append(delegates, d)
 	}
 	e.delegates = delegates
 	e.needsPlacement = true
--- a/internal/cell/engine/backlog.go
+++ b/internal/cell/engine/backlog.go
@@ -15,11 +15,11 @@
 
 // demand is the waiting and the arriving work of one priority.
 type demand struct {
-	waitingCPU    int64   // CPU of the waiting tasks that can still end in time, in thousandths of a core
-	untriedCPU    int64   // part of waitingCPU that no placement round has tried to place
-	waitingWork   float64 // core-seconds of those tasks
-	arrivalRate   float64 // average rate of arriving work, in cores
-	arrivalRateAt time.Time
+	waitingCPU    int64     // CPU of the waiting tasks that can still end in time, in thousandths of a core
+	untriedCPU    int64     // part of waitingCPU that no placement round has tried to place
+	waitingWork   float64   // core-seconds of the waiting work that can still end in time
+	arrivalRate   float64   // average rate of arriving work, in cores
+	arrivalRateAt time.Time // when arrivalRate was last updated
 }
 
 // arrivalWindow is the time constant of the average rate of arriving work: a few times
--- a/internal/cell/engine/commands.go
+++ b/internal/cell/engine/commands.go
@@ -65,6 +65,7 @@
 	stopTimeout = 300 * time.Millisecond
 )
 
+// emitStart emits a start command for r.
 func (e *Engine) emitStart(r *run, timeout time.Duration) {
 	w, t := r.worker, r.task
 	r.startAttempts++
@@ -89,6 +90,7 @@
 	return true
 }
 
+// startAnswered applies the outcome of a start command.
 func (e *Engine) startAnswered(ev *StartAnswered) {
 	r := ev.Start.run
 	w := r.worker
@@ -127,7 +129,7 @@
 		if r.phase == starting {
 			r.phase = unconfirmed
 		}
-		e.stop(r, "no answer to the start")
+		e.stopRun(r, "no answer to the start")
 	case Unhealthy:
 		w.health.quarantine(e.now)
 		e.endRun(r, EndedStopped, "", "worker refuses work")
@@ -142,7 +144,7 @@
 		// A run of this number or a higher one has ended on the worker. After two start
 		// commands it may be this run, whose end the worker will report.
 		if r.startAttempts > 1 {
-			e.stop(r, "run number already used")
+			e.stopRun(r, "run number already used")
 			return
 		}
 		e.endRun(r, EndedStopped, "", "run number already used")
@@ -151,9 +153,9 @@
 	}
 }
 
-// stop requests the end of a run for the given reason. The run keeps its worker's
+// stopRun requests the end of a run for the given reason. The run keeps its worker's
 // resources until its end is confirmed.
-func (e *Engine) stop(r *run, why string) {
+func (e *Engine) stopRun(r *run, why string) {
 	if r.ended || r.phase == stopping {
 		return
 	}
@@ -175,6 +177,7 @@
 	e.emit(&Stop{Worker: r.worker.id, Address: r.worker.address, Life: r.incarnation, Task: r.task.name, Run: r.number, Timeout: stopTimeout, run: r})
 }
 
+// stopAnswered applies the outcome of a stop command.
 func (e *Engine) stopAnswered(ev *StopAnswered) {
 	r := ev.Stop.run
 	if r == nil {
@@ -240,21 +243,21 @@
 const runtimeRatioWeight = 0.05
 
 // observe adds the ratio of one run.
-func (p *runtimeEstimator) observe(queue string, ratio float64) {
-	if p.ratios == nil {
-		p.ratios = make(map[string]float64)
+func (r *runtimeEstimator) observe(queue string, ratio float64) {
+	if r.ratios == nil {
+		r.ratios = make(map[string]float64)
 	}
-	old, known := p.ratios[queue]
+	old, known := r.ratios[queue]
 	if !known {
-		p.ratios[queue] = ratio
+		r.ratios[queue] = ratio
 		return
 	}
-	p.ratios[queue] = old + runtimeRatioWeight*(ratio-old)
+	r.ratios[queue] = old + runtimeRatioWeight*(ratio-old)
 }
 
 // expect returns the expected runtime of a task with the given estimate.
-func (p *runtimeEstimator) expect(queue string, estimate time.Duration) time.Duration {
-	if ratio, known := p.ratios[queue]; known {
+func (r *runtimeEstimator) expect(queue string, estimate time.Duration) time.Duration {
+	if ratio, known := r.ratios[queue]; known {
 		return time.Duration(float64(estimate) * ratio)
 	}
 	return estimate
--- a/internal/cell/engine/critical_path.go
+++ b/internal/cell/engine/critical_path.go
@@ -18,8 +18,8 @@
 }
 
 // objective returns the latency objective of a job of q with the given critical path.
-func objective(q *policy.Queue, chain time.Duration) time.Duration {
-	return time.Duration(q.Stretch*float64(chain)) + q.LatencyTarget
+func objective(q *policy.Queue, criticalPath time.Duration) time.Duration {
+	return time.Duration(q.Stretch*float64(criticalPath)) + q.LatencyTarget
 }
 
 // criticalPath returns the length of a job's critical path.
@@ -43,13 +43,13 @@
 // only on earlier ones, so one pass from the last to the first is enough.
 func (e *Engine) criticalPathsOf(spec *job.Spec) []time.Duration {
 	after := make([]time.Duration, len(spec.Steps))
-	tails := make([]time.Duration, len(spec.Steps))
+	lengths := make([]time.Duration, len(spec.Steps))
 	for i := len(spec.Steps) - 1; i >= 0; i-- {
 		s := &spec.Steps[i]
-		tails[i] = after[i] + e.estimator.expect(spec.Queue, s.Estimate)
+		lengths[i] = after[i] + e.estimator.expect(spec.Queue, s.Estimate)
 		for _, d := range s.DependsOn {
-			after[d] = max(after[d], tails[i])
+			after[d] = max(after[d], lengths[i])
 		}
 	}
-	return tails
+	return lengths
 }
--- a/internal/cell/engine/ends.go
+++ b/internal/cell/engine/ends.go
@@ -25,7 +25,7 @@
 		s.remaining--
 		for _, r := range m.runs {
 			if !s.spec.Gang && r.phase != stopping {
-				e.stop(r, "another run of the task is done")
+				e.stopRun(r, "another run of the task is done")
 			}
 		}
 	}
@@ -157,7 +157,7 @@
 	for _, m := range s.tasks {
 		for _, r := range m.runs {
 			if r.number == number && r.phase != stopping {
-				e.stop(r, "another member of the gang ended")
+				e.stopRun(r, "another member of the gang ended")
 			}
 		}
 	}
--- a/internal/cell/engine/engine.go
+++ b/internal/cell/engine/engine.go
@@ -52,48 +52,48 @@
 	wall   func() int64 // Unix milliseconds
 
 	now         time.Time
-	started     time.Time
+	startedAt   time.Time
 	steppedDown bool
 	actions     []any
 
 	jobs            map[string]*jobState
-	openSteps       []*stepRun // ready steps that have tasks to place
-	scheduledJobs   []*jobState
+	openSteps       []*stepRun  // ready steps that have tasks to place
+	scheduledJobs   []*jobState // jobs with a schedule
 	endedJobs       []*jobState // ordered by the time at which they ended
 	workers         map[string]*worker
-	workerList      []*worker // in the order in which they were found
-	unknownRunStops map[string]time.Time
+	workerList      []*worker                // in the order in which they were found
+	unknownRunStops map[string]time.Time     // when an unknown run was last stopped, by task
 	usage           map[string]job.Resources // by team
 	queued          map[string]int           // accepted jobs that have not started, by queue
 	delegates       []*delegate
 	estimator       runtimeEstimator
-	entitlements    map[string]*tokenBucket
-	demands         map[int]*demand    // by priority
-	goodShares      map[string]float64 // share of workers that the adviser finds good, by queue
-
-	needsPlacement   bool // placement may have work to do
-	placedAt         time.Time
-	placementTook    time.Duration
-	runsCheckedAt    time.Time // when checkRuns last ran
-	demandMeasuredAt time.Time // when measureDemand last ran
-	waitLoggedAt     time.Time // when logWait last logged a step
-	loadLoggedAt     time.Time // when logLoad last logged the load
+	entitlements    map[string]*tokenBucket // by team
+	demands         map[int]*demand         // by priority
+	goodShares      map[string]float64      // share of workers that the adviser finds good, by queue
+
+	needsPlacement   bool          // placement may have work to do
+	placedAt         time.Time     // when the last placement round started
+	placementTook    time.Duration // duration of the last placement round
+	runsCheckedAt    time.Time     // when checkRuns last ran
+	demandMeasuredAt time.Time     // when measureDemand last ran
+	waitLoggedAt     time.Time     // when logWait last logged a step
+	loadLoggedAt     time.Time     // when logLoad last logged the load
 	batch            *Append
 	appendInFlight   bool
-	stopsRetriedAt   time.Time     // when retryStops last ran
-	storeLatency     time.Duration // smoothed duration of an append
-	appendSentAt     time.Time     // when the append in flight was sent
-	storeDownSince   time.Time     // since when the store refuses appends; zero if it accepts them
-	appendRetryAt    time.Time     // when the next append may be sent
-	dirtySteps       map[*stepRun]struct{}
-	dirtyStepList    []*stepRun
+	stopsRetriedAt   time.Time             // when retryStops last ran
+	storeLatency     time.Duration         // smoothed duration of an append
+	appendSentAt     time.Time             // when the append in flight was sent
+	storeDownSince   time.Time             // since when the store refuses appends; zero if it accepts them
+	appendRetryAt    time.Time             // when the next append may be sent
+	dirtySteps       map[*stepRun]struct{} // steps whose records the next append writes
+	dirtyStepList    []*stepRun            // the same in the order in which they were marked
 }
 
 // New returns an engine without jobs or workers. wall returns the wall clock time in
 // Unix milliseconds.
 func New(cfg Config, log *slog.Logger, wall func() int64, now time.Time) *Engine {
 	return &Engine{
-		cfg: cfg, log: log, wall: wall, now: now, started: now,
+		cfg: cfg, log: log, wall: wall, now: now, startedAt: now,
 		policy: (&policy.Policy{}).Index(),
 		jobs:   make(map[string]*jobState), workers: make(map[string]*worker),
 		unknownRunStops: make(map[string]time.Time), usage: make(map[string]job.Resources),
@@ -145,7 +145,7 @@
 func (e *Engine) Settle(now time.Time) []any {
 	e.now = now
 	if !e.steppedDown {
-		e.endLapsedRuns()
+		e.expireLeases()
 		e.dropExpiredJobs()
 		e.retryStops()
 		e.checkRuns()
@@ -219,7 +219,7 @@
 
 func (e *Engine) queueOf(j *jobState) *policy.Queue { return e.policy.Queue(j.queue) }
 
-// task returns the task of that name, or nil.
+// task returns the task with the given reference, or nil if there is none.
 func (e *Engine) task(ref job.TaskRef) *task {
 	j := e.jobs[ref.Job]
 	if j == nil || j.spec == nil || ref.Occurrence >= len(j.occurrences) || ref.Step >= len(j.spec.Steps) {
--- a/internal/cell/engine/engine_test.go
+++ b/internal/cell/engine/engine_test.go
@@ -13,13 +13,13 @@
 	"pollenbend/internal/cell/job"
 )
 
-func TestJobRunsToItsEnd(t *testing.T) {
+func TestJobRunsToCompletion(t *testing.T) {
 	w := newWorld(t, 4, 1)
 	w.run(time.Second)
 	first, second := tasks(4, 2000, time.Second), gang(3, 3000, 2*time.Second)
 	second.DependsOn = []int{0}
 	id := w.submit("batch", "a", first, second)
-	assert.Equal(t, "unknown", w.state(id), "not shown before it is stored")
+	assert.Equal(t, "unknown", w.state(id), "not visible before it is stored")
 	w.run(100 * time.Millisecond)
 	assert.Equal(t, OK, w.answers[id].Outcome)
 	assert.Equal(t, StateRunning, w.state(id))
@@ -40,66 +40,66 @@
 	}
 }
 
-func TestTakeoverAdoptsWhatRuns(t *testing.T) {
+func TestNewLeaderAdoptsRunningTasks(t *testing.T) {
 	w := newWorld(t, 3, 1)
 	w.run(time.Second)
 	id := w.submit("batch", "a", tasks(8, 2000, 3*time.Second))
 	w.run(time.Second)
 	started := w.starts
-	w.lead()
+	w.startLeader()
 	w.run(4 * time.Second)
 	assert.Equal(t, StateCompleted, w.state(id))
-	assert.Equal(t, started, w.starts, "nothing is started again")
+	assert.Equal(t, started, w.starts, "no task is started again")
 }
 
-func TestAcceptedJobOutlivesItsLeader(t *testing.T) {
+func TestAcceptedJobSurvivesChangeOfLeader(t *testing.T) {
 	w := newWorld(t, 3, 1)
 	w.run(time.Second)
 	id := w.submit("batch", "a", tasks(2, 2000, time.Second))
-	for w.answers[id].Outcome != OK || !w.ok[id] {
+	for w.answers[id].Outcome != OK || !w.accepted[id] {
 		w.run(simTick)
 	}
-	w.lead()
+	w.startLeader()
 	w.run(4 * time.Second)
 	assert.Equal(t, StateCompleted, w.state(id))
 }
 
-// A worker that falls silent keeps its runs until their lease has lapsed; then they
-// start elsewhere.
-func TestSilentWorkerLosesItsRunsAfterTheLease(t *testing.T) {
+// The runs of an unreachable worker are started on other workers only after their lease
+// has expired.
+func TestUnreachableWorkerLosesItsRunsAfterTheLease(t *testing.T) {
 	w := newWorld(t, 3, 1)
 	w.run(time.Second)
 	id := w.submit("batch", "a", tasks(3, 6000, 9*time.Second))
 	w.run(time.Second)
-	w.workers["w01"].dark = true
+	w.workers["w01"].unreachable = true
 	w.run(4 * time.Second)
-	assert.Equal(t, 3, w.starts, "the lease has not lapsed")
+	assert.Equal(t, 3, w.starts, "the lease has not expired")
 	w.run(20 * time.Second)
 	assert.Equal(t, StateCompleted, w.state(id))
 	assert.Equal(t, 4, w.starts)
 }
 
-func TestSilentWorkerAfterATakeover(t *testing.T) {
+func TestUnreachableWorkerAfterChangeOfLeader(t *testing.T) {
 	w := newWorld(t, 3, 1)
 	w.run(time.Second)
 	id := w.submit("batch", "a", tasks(3, 6000, 9*time.Second))
 	w.run(time.Second)
-	w.workers["w01"].dark = true
-	w.lead()
+	w.workers["w01"].unreachable = true
+	w.startLeader()
 	w.run(35 * time.Second)
 	assert.Equal(t, StateCompleted, w.state(id))
 }
 
-// The worker answers the new leader once and then falls silent: the lease that the
-// earlier leader asked for still counts.
-func TestWorkerSilentRightAfterTheFirstLook(t *testing.T) {
+// A worker answers the first renewal of a new leader and then becomes unreachable. The
+// lease that the earlier leader requested still counts.
+func TestWorkerUnreachableAfterFirstRenewal(t *testing.T) {
 	w := newWorld(t, 3, 1)
 	w.run(time.Second)
 	id := w.submit("batch", "a", tasks(3, 6000, 9*time.Second))
 	w.run(time.Second)
-	w.lead()
+	w.startLeader()
 	w.run(15 * time.Millisecond)
-	w.workers["w01"].dark = true
+	w.workers["w01"].unreachable = true
 	w.run(35 * time.Second)
 	assert.Equal(t, StateCompleted, w.state(id))
 }
@@ -109,12 +109,12 @@
 	w.run(time.Second)
 	id := w.submit("batch", "a", tasks(3, 6000, 3*time.Second))
 	w.run(time.Second)
-	w.crash("w01")
+	w.restartWorker("w01")
 	w.run(5 * time.Second)
 	assert.Equal(t, StateCompleted, w.state(id))
 }
 
-func TestStoreThatRefusesRefusesJobsAtOnce(t *testing.T) {
+func TestJobsAreRefusedAtOnceWhileStoreRefuses(t *testing.T) {
 	w := newWorld(t, 3, 1)
 	w.run(time.Second)
 	w.storeRefuses = true
@@ -123,33 +123,33 @@
 	require.Equal(t, Refused, w.answers[id].Outcome)
 	assert.Positive(t, w.answers[id].RetryAfter)
 	second := w.submit("batch", "a", tasks(3, 1000, time.Second))
-	assert.Equal(t, Refused, w.answers[second].Outcome, "refused at once while the store is away")
+	assert.Equal(t, Refused, w.answers[second].Outcome, "refused at once while the store refuses appends")
 	w.storeRefuses = false
 	w.run(time.Second)
 	w.engine.Handle(w.now, &StoreAnswered{})
-	w.send(w.specs[id])
+	w.sendSubmit(w.specs[id])
 	w.run(3 * time.Second)
 	assert.Equal(t, StateCompleted, w.state(id))
 	assert.Equal(t, "unknown", w.state(second))
 }
 
-func TestJobsBehindASilentStoreAreRefused(t *testing.T) {
+func TestJobsBehindAHangingStoreAreRefused(t *testing.T) {
 	w := newWorld(t, 3, 1)
 	w.run(time.Second)
-	w.storeSilent = true
+	w.storeHangs = true
 	first := w.submit("batch", "a", tasks(1, 1000, time.Second))
 	w.run(50 * time.Millisecond)
 	second := w.submit("batch", "a", tasks(1, 1000, time.Second))
 	w.run(time.Second)
-	assert.NotContains(t, w.answers, first, "its append is under way, so nothing can be said")
+	assert.NotContains(t, w.answers, first, "the outcome of its append is not known yet")
 	assert.Equal(t, Refused, w.answers[second].Outcome)
-	w.storeSilent = false
+	w.storeHangs = false
 	w.run(3 * time.Second)
 	assert.Equal(t, OK, w.answers[first].Outcome)
 	assert.Equal(t, StateCompleted, w.state(first))
 }
 
-// The report of a worker overtakes its answer to the start.
+// A worker's report arrives before its answer to the start command.
 func TestJobSeenRunningIsNoLongerPending(t *testing.T) {
 	w := newWorld(t, 1, 1)
 	w.run(time.Second)
@@ -162,8 +162,8 @@
 	assert.Zero(t, pending)
 }
 
-// A job whose every step depends on all steps before it has more paths than can be
-// counted; the engine must not walk them.
+// If every step of a job depends on all earlier steps, the number of paths grows
+// exponentially, so the engine must not enumerate them.
 func TestJobWithAllDependencies(t *testing.T) {
 	w := newWorld(t, 2, 1)
 	w.run(time.Second)
@@ -180,16 +180,16 @@
 	assert.Equal(t, StateCompleted, w.state(id))
 }
 
-// A run that nobody knows takes room of a size that nobody knows: nothing is placed
-// beside it until it has been stopped.
-func TestUnknownRunClosesItsWorker(t *testing.T) {
+// The resource use of an unknown run is unknown too, so nothing is placed on its worker
+// until it has been stopped.
+func TestNoTasksArePlacedBesideAnUnknownRun(t *testing.T) {
 	w := newWorld(t, 1, 1)
 	s := w.workers["w00"]
-	s.lease = w.now.Add(5 * time.Second)
-	ghost := "00000000000000ff.0.0.0"
-	r := &simRun{task: ghost, run: 1, begun: w.now, length: 4 * time.Second, need: job.Resources{CPU: 6000}}
-	s.runs[ghost] = r
-	w.tasks[ghost] = &simTask{runs: map[string]*simRun{"w00": r}}
+	s.leaseEnd = w.now.Add(5 * time.Second)
+	unknownTask := "00000000000000ff.0.0.0"
+	r := &simRun{task: unknownTask, run: 1, startedAt: w.now, runtime: 4 * time.Second, need: job.Resources{CPU: 6000}}
+	s.runs[unknownTask] = r
+	w.tasks[unknownTask] = &simTask{runs: map[string]*simRun{"w00": r}}
 	w.specs["00000000000000ff"] = &job.Spec{Team: "a"}
 	id := w.submit("batch", "a", tasks(1, 6000, 500*time.Millisecond))
 	w.run(2 * time.Second)
@@ -197,9 +197,9 @@
 	assert.Empty(t, s.runs)
 }
 
-// The last step of a quiet cell gets no advice once and must be asked about again
-// without any other event.
-func TestAdviceIsAskedForAgainWithoutAnEvent(t *testing.T) {
+// A call to the adviser for the only open step fails. It must be retried although no
+// other event occurs.
+func TestFailedAdviserCallIsRetriedWithoutAnEvent(t *testing.T) {
 	w := newWorld(t, 6, 1)
 	w.run(time.Second)
 	w.adviceFails = true
@@ -220,7 +220,7 @@
 
 func TestJobFailsAfterItsAttempts(t *testing.T) {
 	w := newWorld(t, 4, 1)
-	w.failing = 1
+	w.failureRatio = 1
 	w.run(time.Second)
 	id := w.submit("batch", "a", tasks(1, 1000, 100*time.Millisecond))
 	w.run(3 * time.Second)
@@ -231,31 +231,31 @@
 func TestAnswerToAStartIsLost(t *testing.T) {
 	w := newWorld(t, 4, 3)
 	w.run(time.Second)
-	w.lateOrders = 0.3
+	w.lateCommandRatio = 0.3
 	var ids []string
 	for range 10 {
 		ids = append(ids, w.submit("batch", "a", tasks(3, 1000, 500*time.Millisecond)))
 		w.run(300 * time.Millisecond)
 	}
-	w.lateOrders = 0
+	w.lateCommandRatio = 0
 	w.run(25 * time.Second)
 	for _, id := range ids {
 		assert.Equal(t, StateCompleted, w.state(id))
 	}
 }
 
-// randomFaults plays a seeded day with every fault of the world and checks at its
-// end that nothing that was accepted is lost.
-func randomFaults(t *testing.T, seed uint64) *world {
+// runRandomFaults submits random jobs while injecting random faults, and checks that
+// every accepted job reaches a final state.
+func runRandomFaults(t *testing.T, seed uint64) *world {
 	w := newWorld(t, 6, seed)
-	w.failing = 0.05
+	w.failureRatio = 0.05
 	w.run(time.Second)
 	queues := []string{"urgent", "gangs", "batch", "advised"}
 	teams := []string{"a", "capped"}
 	for range 120 {
 		queue, team := queues[w.rand.IntN(4)], teams[w.rand.IntN(2)]
-		length := time.Duration(100+w.rand.IntN(3000)) * time.Millisecond
-		first := tasks(1+w.rand.IntN(4), int64(500+w.rand.IntN(1500)), length)
+		runtime := time.Duration(100+w.rand.IntN(3000)) * time.Millisecond
+		first := tasks(1+w.rand.IntN(4), int64(500+w.rand.IntN(1500)), runtime)
 		first.Gang = queue == "gangs" || queue == "advised"
 		steps := []job.Step{first}
 		if w.rand.IntN(3) == 0 {
@@ -267,45 +267,45 @@
 		if w.rand.IntN(8) == 0 {
 			w.after(time.Duration(w.rand.IntN(2000))*time.Millisecond, func() { w.cancel(id) })
 		}
-		w.strike()
+		w.injectFault()
 		w.run(time.Duration(w.rand.IntN(400)) * time.Millisecond)
 	}
-	w.heal()
+	w.clearFaults()
 	w.run(70 * time.Second)
-	for _, id := range sortedKeys(w.ok) {
-		if !w.ok[id] {
+	for _, id := range sortedKeys(w.accepted) {
+		if !w.accepted[id] {
 			continue
 		}
 		state := w.state(id)
-		over := state == StateCompleted || state == StateFailed || w.unwanted[id] && state == StateCanceled
-		assert.True(t, over, "seed %d: job %s is %s at the end", seed, id, state)
+		ended := state == StateCompleted || state == StateFailed || w.cancelRequested[id] && state == StateCanceled
+		assert.True(t, ended, "seed %d: job %s is %s at the end", seed, id, state)
 	}
 	return w
 }
 
-// strike brings about a fault, now and then.
-func (w *world) strike() {
+// injectFault injects a random fault with a probability of about one third.
+func (w *world) injectFault() {
 	id := w.ids[w.rand.IntN(len(w.ids))]
 	switch w.rand.IntN(27) {
 	case 0:
-		w.lead()
+		w.startLeader()
 	case 1:
-		w.workers[id].dark = true
-		w.after(time.Duration(w.rand.IntN(12000))*time.Millisecond, func() { w.workers[id].dark = false })
+		w.workers[id].unreachable = true
+		w.after(time.Duration(w.rand.IntN(12000))*time.Millisecond, func() { w.workers[id].unreachable = false })
 	case 2:
-		w.crash(id)
+		w.restartWorker(id)
 	case 3:
 		w.storeRefuses = true
 		w.after(time.Duration(w.rand.IntN(3000))*time.Millisecond, func() { w.storeRefuses = false; w.engine.Handle(w.now, &StoreAnswered{}) })
 	case 4:
-		w.storeSilent = true
-		w.after(time.Duration(w.rand.IntN(3000))*time.Millisecond, func() { w.storeSilent = false })
+		w.storeHangs = true
+		w.after(time.Duration(w.rand.IntN(3000))*time.Millisecond, func() { w.storeHangs = false })
 	case 5:
-		w.lateOrders = 0.1
-		w.after(3*time.Second, func() { w.lateOrders = 0 })
+		w.lateCommandRatio = 0.1
+		w.after(3*time.Second, func() { w.lateCommandRatio = 0 })
 	case 6:
-		w.workers[id].slow = 5
-		w.after(3*time.Second, func() { w.workers[id].slow = 1 })
+		w.workers[id].slowdown = 5
+		w.after(3*time.Second, func() { w.workers[id].slowdown = 1 })
 	case 8, 9:
 		w.storeDelay = time.Duration(w.rand.IntN(300)) * time.Millisecond
 		w.after(3*time.Second, func() { w.storeDelay = 0 })
@@ -315,17 +315,18 @@
 	}
 }
 
-func (w *world) heal() {
-	w.storeRefuses, w.storeSilent, w.adviceFails, w.lateOrders = false, false, false, 0
+// clearFaults ends all faults.
+func (w *world) clearFaults() {
+	w.storeRefuses, w.storeHangs, w.adviceFails, w.lateCommandRatio = false, false, false, 0
 	w.storeDelay = 0
 	w.engine.Handle(w.now, &StoreAnswered{})
 	for _, s := range w.workers {
-		s.dark, s.slow = false, 1
+		s.unreachable, s.slowdown = false, 1
 	}
 }
 
-// seeds returns how many days are played: WORLD_SEEDS, or a number that suits CI.
-func seeds() uint64 {
+// seedCount returns the number of seeds to run: WORLD_SEEDS, or a default for CI.
+func seedCount() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("WORLD_SEEDS"), 10, 32); err == nil {
 		return n
 	}
@@ -333,45 +334,45 @@
 }
 
 func TestRandomFaults(t *testing.T) {
-	for seed := uint64(1); seed <= seeds(); seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { randomFaults(t, seed) })
+	for seed := uint64(1); seed <= seedCount(); seed++ {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomFaults(t, seed) })
 	}
 }
 
-// An order without an answer is sent again under the same number, as the worker
-// takes it once: the other members of a gang need not start anew.
-func TestGangOutlivesALostOrder(t *testing.T) {
+// A start command without an answer is sent again with the same run number, which the
+// worker starts at most once. The other members of the gang must not be restarted.
+func TestGangSurvivesALostStart(t *testing.T) {
 	w := newWorld(t, 8, 3)
 	w.run(time.Second)
-	w.loseStarts = 1
+	w.lostStarts = 1
 	id := w.submit("gangs", "a", gang(6, 4000, time.Second))
 	w.run(1800 * time.Millisecond)
 	assert.Equal(t, StateCompleted, w.state(id))
 	assert.Equal(t, 6, w.starts)
-	w.run(12 * time.Second) // the lost order is carried out late, to no effect
+	w.run(12 * time.Second) // the lost command is carried out late, without effect
 	assert.Equal(t, 6, w.starts)
 }
 
-// A run whose answer was lost ends before the order is sent again. Its end counts,
-// and the task is not run a second time.
-func TestRunEndsBeforeItsOrderIsSentAgain(t *testing.T) {
+// The answer to a start command is lost, and the run ends before the command is sent
+// again. Its end counts, and the task is not run a second time.
+func TestRunEndsBeforeItsStartIsRetried(t *testing.T) {
 	w := newWorld(t, 2, 3)
 	w.run(time.Second)
-	w.loseAnswers = 1
+	w.lostStartAnswers = 1
 	id := w.submit("batch", "a", tasks(1, 1000, 100*time.Millisecond))
 	w.run(3 * time.Second)
 	assert.Equal(t, StateCompleted, w.state(id))
 	assert.Equal(t, 1, w.starts)
 }
 
-// The report that would list the ends of an urgent job is lost. The next one comes
-// soon enough for the job to be in time.
+// The report with the ended runs of an urgent job is lost. The next renewal comes early
+// enough for the job to end in time.
 func TestReportIsLost(t *testing.T) {
 	w := newWorld(t, 4, 3)
 	w.run(time.Second)
 	id := w.submit("urgent", "a", tasks(2, 1000, 800*time.Millisecond))
 	w.run(300 * time.Millisecond)
-	w.loseLooks = 2
+	w.lostRenewals = 2
 	w.run(1150 * time.Millisecond)
 	assert.Equal(t, StateCompleted, w.state(id))
 }
--- a/internal/cell/engine/gangs_test.go
+++ b/internal/cell/engine/gangs_test.go
@@ -12,17 +12,17 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// advisedFleet is a fleet of equal workers whose queues all need advice: wide gangs
-// that a quarter of the workers may run, batch work that half of them may run, and
-// many small urgent jobs.
-func advisedFleet(t *testing.T, workers int, arms int) *world {
+// newAdvisedWorld returns a world of equal workers in which all queues but "plain" need
+// advice. The adviser finds about 25% of the workers good for a step of gangs, 45% for
+// batch and 70% for urgent.
+func newAdvisedWorld(t *testing.T, workers int, arms int) *world {
 	w := newWorld(t, workers, 7)
 	for _, s := range w.workers {
 		s.capacity = job.Resources{CPU: 32000, MemMB: 64000}
 	}
-	w.arms = nil
+	w.delegates = nil
 	for i := range arms {
-		w.arms = append(w.arms, fmt.Sprintf("i%d", i))
+		w.delegates = append(w.delegates, fmt.Sprintf("i%d", i))
 	}
 	ttl := 1500 * time.Millisecond
 	w.policy = (&policy.Policy{
@@ -39,7 +39,7 @@
 		Services: []policy.Service{{Name: "s"}}, Teams: []policy.Team{{Name: "a", Weight: 500}},
 	}).Index()
 	shares := map[string]uint32{"urgent": 70, "gangs": 25, "batch": 45}
-	w.goodFor = func(step job.StepRef, worker string) bool {
+	w.isGood = func(step job.StepRef, worker string) bool {
 		h := fnv.New32a()
 		_, _ = h.Write([]byte(step.String() + worker))
 		x := h.Sum32()
@@ -48,15 +48,15 @@
 		x ^= x >> 12
 		return x%100 < shares[w.specs[step.Job].Queue]
 	}
-	w.lead()
+	w.startLeader()
 	return w
 }
 
-// Load: most of each worker is in use, and small urgent jobs come and go in the rest.
-// A wide gang gathers its room by several calls to the adviser, whose tickets last
-// little longer than a call. It must not lose some of them with each call.
-func TestWideGangGathersItsTickets(t *testing.T) {
-	w := advisedFleet(t, 350, 36)
+// Most of each worker's capacity is in use, and small urgent jobs take parts of the
+// remaining capacity. A wide gang needs several calls to the adviser, and tickets are
+// valid for little longer than a call. The gang must not lose tickets with each call.
+func TestWideGangKeepsItsTicketsOverSeveralCalls(t *testing.T) {
+	w := newAdvisedWorld(t, 350, 36)
 	w.run(2 * time.Second)
 	w.submit("plain", "a", tasks(350, 20000, time.Minute))
 	w.run(500 * time.Millisecond)
@@ -71,13 +71,14 @@
 	}
 	for _, id := range gangs {
 		assert.Equal(t, StateCompleted, w.state(id))
-		assert.LessOrEqual(t, w.took[id], objective(w.policy.Queue("gangs"), time.Second))
+		assert.LessOrEqual(t, w.turnaround[id], objective(w.policy.Queue("gangs"), time.Second))
 	}
 }
 
-// Tickets that lapse before a call brings the rest are renewed with it.
-func TestTicketsThatLapseDuringACallAreRenewedWithIt(t *testing.T) {
-	w := advisedFleet(t, 12, 4)
+// Tickets that would expire before a call for the missing tickets returns are renewed by
+// the same call.
+func TestTicketsThatExpireDuringACallAreRenewedWithIt(t *testing.T) {
+	w := newAdvisedWorld(t, 12, 4)
 	w.run(time.Second)
 	id := w.submit("gangs", "a", gang(8, 20000, time.Second))
 	w.run(50 * time.Millisecond) // the first calls are under way
@@ -94,10 +95,10 @@
 	assert.GreaterOrEqual(t, len(e.workersToAsk(s, q, e.newRound("s"))), 8)
 }
 
-// The adviser takes a hundred workers in a call: a batch step with more lapsed
-// tickets asks for them by several calls.
+// The adviser accepts at most a hundred workers in a call, so a batch step with more
+// expired tickets renews them in several calls.
 func TestCallNamesNoMoreWorkersThanTheAdviserTakes(t *testing.T) {
-	w := advisedFleet(t, 350, 36)
+	w := newAdvisedWorld(t, 350, 36)
 	w.run(time.Second)
 	id := w.submit("batch", "a", tasks(150, 20000, time.Second))
 	w.run(20 * time.Millisecond) // the first call is under way
--- a/internal/cell/engine/health.go
+++ b/internal/cell/engine/health.go
@@ -22,7 +22,8 @@
 // quarantined reports whether the worker gets no new tasks now.
 func (h *health) quarantined(now time.Time) bool { return now.Before(h.quarantinedUntil) }
 
-// slownessPerFailure is the slowness that each consecutive failure or stall adds.
+// slownessPerFailure is added to the slowness of a worker for each consecutive failure
+// or stall.
 const slownessPerFailure = 0.3
 
 // slowness returns the assumed runtime of a task as a multiple of that on a healthy
@@ -39,7 +40,7 @@
 // it.
 func (h *health) failed(now time.Time) bool {
 	h.failures++
-	return h.quarantineFrom(h.failures, failuresToQuarantine, now)
+	return h.quarantineAtLimit(h.failures, failuresToQuarantine, now)
 }
 
 // stallsToQuarantine is the number of consecutive stalled runs after which a worker is
@@ -50,12 +51,12 @@
 // quarantined because of it.
 func (h *health) stalled(now time.Time) bool {
 	h.stalls++
-	return h.quarantineFrom(h.stalls, stallsToQuarantine, now)
+	return h.quarantineAtLimit(h.stalls, stallsToQuarantine, now)
 }
 
-// quarantineFrom quarantines the worker if count has reached limit and it is not
+// quarantineAtLimit quarantines the worker if count has reached limit and it is not
 // quarantined yet. It reports whether it did.
-func (h *health) quarantineFrom(count, limit int, now time.Time) bool {
+func (h *health) quarantineAtLimit(count, limit int, now time.Time) bool {
 	if count < limit || h.quarantined(now) {
 		return false
 	}
--- a/internal/cell/engine/jobs.go
+++ b/internal/cell/engine/jobs.go
@@ -33,7 +33,7 @@
 	j.arrivedAt = e.now
 	j.overEntitlement = !e.takeToken(ev.Spec.Team)
 	e.addJob(j)
-	e.put(record.JobKey(j.id), record.Encode(&record.Job{Spec: j.spec, Accepted: j.accepted}))
+	e.put(record.JobKey(j.id), record.Encode(&record.Job{Spec: j.spec, Accepted: j.acceptedAt}))
 	j.pendingReplies = append(j.pendingReplies, ev.Reply)
 	e.batch.jobs = append(e.batch.jobs, j)
 	e.afterAppend(func() {
@@ -186,14 +186,14 @@
 // finishJob ends a job in the given final state and stops its remaining runs.
 func (e *Engine) finishJob(j *jobState, state record.State) {
 	j.state = state
-	j.ended = e.wall()
+	j.endedAt = e.wall()
 	e.markStarted(j)
 	e.put(record.JobKey(j.id), record.Encode(j.record()))
 	j.eachStep(func(s *stepRun) {
 		for _, t := range s.tasks {
 			for _, r := range t.runs {
 				if !t.done || !s.spec.Gang {
-					e.stop(r, "job has ended")
+					e.stopRun(r, "job has ended")
 				}
 			}
 		}
@@ -210,7 +210,7 @@
 // record returns the record of j. As long as an ended job has runs, the record keeps
 // the job's spec, from which the next leader knows what resources they use.
 func (j *jobState) record() *record.Job {
-	r := &record.Job{State: j.state, Team: j.team, Queue: j.queue, Accepted: j.accepted, Ended: j.ended}
+	r := &record.Job{State: j.state, Team: j.team, Queue: j.queue, Accepted: j.acceptedAt, Ended: j.endedAt}
 	if !j.state.Final() || j.hasRuns() {
 		r.Spec = j.spec
 	}
@@ -274,7 +274,7 @@
 	n := 0
 	wall := e.wall()
 	for _, j := range e.endedJobs {
-		if wall-j.ended < e.cfg.KeepEnded.Milliseconds() {
+		if wall-j.endedAt < e.cfg.KeepEnded.Milliseconds() {
 			break
 		}
 		delete(e.jobs, j.id)
--- a/internal/cell/engine/log_test.go
+++ b/internal/cell/engine/log_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// linesOf returns the messages logged about a job, in their order.
-func linesOf(t *testing.T, log *bytes.Buffer, id string) []string {
+// messagesOf returns the messages logged about a job, in order.
+func messagesOf(t *testing.T, log *bytes.Buffer, id string) []string {
 	var found []string
 	for _, line := range bytes.Split(bytes.TrimSpace(log.Bytes()), []byte("\n")) {
 		var l struct{ Msg, Job string }
@@ -24,8 +24,8 @@
 	return found
 }
 
-// Every decision that touches a job leaves a line with its id.
-func TestDecisionsLeaveTheirLines(t *testing.T) {
+// Every decision about a job is logged with the job's id.
+func TestDecisionsAreLogged(t *testing.T) {
 	w := newWorld(t, 2, 1)
 	var log bytes.Buffer
 	w.engine.log = slog.New(slog.NewJSONHandler(&log, nil))
@@ -39,8 +39,8 @@
 	w.storeRefuses = true
 	refused := w.submit("batch", "a", tasks(1, 1000, time.Second))
 	w.run(100 * time.Millisecond)
-	assert.Equal(t, []string{"job accepted", "task started", "run ended", "job ended"}, linesOf(t, &log, done))
-	assert.Equal(t, []string{"job accepted", "task started", "job canceled", "job ended", "run ended"}, linesOf(t, &log, canceled))
-	assert.Contains(t, linesOf(t, &log, waits), "step waits")
-	assert.Equal(t, []string{"job refused", "run dropped"}, linesOf(t, &log, refused))
+	assert.Equal(t, []string{"job accepted", "task started", "run ended", "job ended"}, messagesOf(t, &log, done))
+	assert.Equal(t, []string{"job accepted", "task started", "job canceled", "job ended", "run ended"}, messagesOf(t, &log, canceled))
+	assert.Contains(t, messagesOf(t, &log, waits), "step waits")
+	assert.Equal(t, []string{"job refused", "run dropped"}, messagesOf(t, &log, refused))
 }
--- a/internal/cell/engine/overload_test.go
+++ b/internal/cell/engine/overload_test.go
@@ -10,9 +10,9 @@
 	"pollenbend/internal/cell/record"
 )
 
-// heavyDay hands in more work than the fleet can do, several times its room at
-// once, as after an outage of all instances.
-func heavyDay(w *world, span time.Duration) (urgent []string) {
+// submitOverload submits several times more work than the workers have capacity for, as
+// happens after an outage of all instances. It returns the urgent jobs.
+func submitOverload(w *world, span time.Duration) (urgent []string) {
 	for end := w.now.Add(span); w.now.Before(end); {
 		for range 3 {
 			urgent = append(urgent, w.submit("urgent", "a", tasks(2, 1500, 800*time.Millisecond)))
@@ -28,19 +28,19 @@
 	return urgent
 }
 
-// Load: three times what the fleet holds, most of it urgent. Urgent jobs that are
-// accepted are served in time; what is refused is told when to come back.
-func TestUrgentJobsAreServedInTimeOnAFullFleet(t *testing.T) {
+// The submitted work, most of it urgent, is three times the workers' capacity. Accepted
+// urgent jobs end in time; refused ones get a retry delay.
+func TestUrgentJobsEndInTimeUnderOverload(t *testing.T) {
 	w := newWorld(t, 24, 7)
 	w.run(time.Second)
-	urgent := heavyDay(w, 6*time.Second)
+	urgent := submitOverload(w, 6*time.Second)
 	accepted, inTime, refused := 0, 0, 0
 	w.run(2 * time.Second)
 	for _, id := range urgent {
 		switch {
-		case w.ok[id]:
+		case w.accepted[id]:
 			accepted++
-			if took, over := w.took[id]; over && took <= 1450*time.Millisecond {
+			if took, over := w.turnaround[id]; over && took <= 1450*time.Millisecond {
 				inTime++
 			}
 		case w.refused[id]:
@@ -53,18 +53,18 @@
 	assert.GreaterOrEqual(t, float64(inTime), 0.8*float64(accepted))
 }
 
-func BenchmarkHeavyDay(b *testing.B) {
+func BenchmarkOverload(b *testing.B) {
 	for b.Loop() {
 		w := newWorld(&testing.T{}, 48, 7)
 		w.run(time.Second)
-		heavyDay(w, 4*time.Second)
+		submitOverload(w, 4*time.Second)
 	}
 }
 
-// Load: gangs of large tasks wait, most of the fleet's room is in pieces too small
-// for them. A batch job of small tasks is accepted, starts in that room and is in
-// time, though far more work of a higher priority waits than is free.
-func TestBatchIsAdmittedIntoRoomThatWaitingGangsCannotUse(t *testing.T) {
+// Gangs of large tasks wait, as most of the free capacity is in pieces too small for
+// them. A batch job of small tasks is accepted, uses that capacity and ends in time,
+// although the waiting work of higher priority far exceeds the free capacity.
+func TestBatchIsAdmittedToCapacityThatWaitingGangsCannotUse(t *testing.T) {
 	w := newWorld(t, 24, 7)
 	w.run(time.Second)
 	for range 8 {
@@ -78,35 +78,35 @@
 	}
 	w.run(12 * time.Second)
 	for _, id := range batch {
-		assert.True(t, w.ok[id], "there was room for the job: %s", w.answers[id].Why)
-		assert.LessOrEqual(t, w.took[id], 15*time.Second)
-		assert.Positive(t, w.took[id])
+		assert.True(t, w.accepted[id], "there was free capacity for the job: %s", w.answers[id].Why)
+		assert.LessOrEqual(t, w.turnaround[id], 15*time.Second)
+		assert.Positive(t, w.turnaround[id])
 	}
 }
 
-// Load: gangs wait for room on their good workers when the leader is lost. The next
-// leader knows these workers: it has their tickets renewed and does not ask about the
-// whole fleet again, which would take several calls a gang.
-func TestAdviceOutlivesItsLeader(t *testing.T) {
+// A gang waits for resources on its good workers when the leader is lost. The next leader
+// restores these workers and only renews their tickets. Asking about all workers again
+// would take several calls per gang.
+func TestAdviceSurvivesChangeOfLeader(t *testing.T) {
 	w := newWorld(t, 60, 7)
 	w.run(time.Second)
 	filler := w.submit("batch", "a", tasks(60, 8000, time.Minute))
 	w.run(500 * time.Millisecond)
 	id := w.submit("advised", "a", gang(12, 5000, time.Second))
 	w.run(4 * time.Second)
-	first := w.asked
+	first := w.workersAsked
 	assert.Greater(t, first, 24)
-	w.asked = 0
-	w.lead()
+	w.workersAsked = 0
+	w.startLeader()
 	w.run(200 * time.Millisecond)
 	w.cancel(filler)
 	w.run(3 * time.Second)
 	assert.Equal(t, StateCompleted, w.state(id))
-	assert.LessOrEqual(t, w.asked, 12+spareRenewedTickets)
+	assert.LessOrEqual(t, w.workersAsked, 12+spareRenewedTickets)
 }
 
-// A job is canceled while its gang waits for room: what the adviser has said of it
-// leaves the store with it.
+// A job is canceled while its gang waits for resources. The stored advice is removed with
+// the job.
 func TestAdviceOfACanceledJobIsDropped(t *testing.T) {
 	w := newWorld(t, 60, 7)
 	w.run(time.Second)
--- a/internal/cell/engine/reports.go
+++ b/internal/cell/engine/reports.go
@@ -118,7 +118,7 @@
 		r.percent, r.progressAt = s.Percent, e.now
 	}
 	if r.task.done && r.phase == running {
-		e.stop(r, "the task is done")
+		e.stopRun(r, "the task is done")
 	}
 }
 
@@ -143,16 +143,16 @@
 		if !r.restored {
 			return
 		}
-		e.stop(r, "not reported after a change of leader")
+		e.stopRun(r, "not reported after a change of leader")
 	case starting:
 		return // the start command may still be under way; its answer decides
 	case running:
 		if ev.Sent.After(r.startSentAt.Add(e.cfg.SettleStart)) {
 			// The run was confirmed and is not reported as finished: the worker lost it.
-			e.stop(r, "missing on its worker")
+			e.stopRun(r, "missing on its worker")
 		}
 	case unconfirmed:
-		e.stop(r, "start unconfirmed")
+		e.stopRun(r, "start unconfirmed")
 	case stopping:
 		if !r.stopConfirmedAt.IsZero() && ev.Sent.After(r.stopConfirmedAt) {
 			e.endRun(r, EndedStopped, "", "absent after the stop")
@@ -160,16 +160,16 @@
 	}
 }
 
-// endLapsedRuns ends the runs on workers that were unreachable until all of their
+// expireLeases ends the runs on workers that were unreachable until all of their
 // leases had expired.
-func (e *Engine) endLapsedRuns() {
+func (e *Engine) expireLeases() {
 	for _, w := range e.workerList {
 		if len(w.runs) == 0 {
 			continue
 		}
-		end := w.leasesLapseAt()
+		end := w.leasesExpireAt()
 		if !w.reported {
-			end = e.started.Add(e.cfg.MaxLease + time.Duration(float64(e.cfg.MaxLease)*2*clockDrift))
+			end = e.startedAt.Add(e.cfg.MaxLease + time.Duration(float64(e.cfg.MaxLease)*2*clockDrift))
 		}
 		if e.now.Before(end.Add(e.cfg.LapseMargin)) {
 			continue
--- a/internal/cell/engine/restore.go
+++ b/internal/cell/engine/restore.go
@@ -32,14 +32,14 @@
 	for _, id := range ids {
 		e.restoreJob(id, from.Jobs[id], wall, from.Steps)
 	}
-	sort.SliceStable(e.endedJobs, func(a, b int) bool { return e.endedJobs[a].ended < e.endedJobs[b].ended })
+	sort.SliceStable(e.endedJobs, func(a, b int) bool { return e.endedJobs[a].endedAt < e.endedJobs[b].endedAt })
 	e.log.Info("state restored", "jobs", len(from.Jobs), "steps", len(from.Steps), "open_steps", len(e.openSteps), "workers", len(e.workerList))
 }
 
 // restoreJob restores a job and its steps.
 func (e *Engine) restoreJob(id string, rec *record.Job, wall int64, steps map[job.StepRef]*record.Step) {
 	if rec.Spec == nil {
-		j := &jobState{id: id, team: rec.Team, queue: rec.Queue, accepted: rec.Accepted, ended: rec.Ended,
+		j := &jobState{id: id, team: rec.Team, queue: rec.Queue, acceptedAt: rec.Accepted, endedAt: rec.Ended,
 			state: rec.State, reportedState: rec.State, stored: true, started: true, compacted: true}
 		e.jobs[id] = j
 		e.endedJobs = append(e.endedJobs, j)
@@ -52,8 +52,8 @@
 	for k := range j.occurrences {
 		for i := range j.spec.Steps {
 			ref := job.StepRef{Job: id, Occurrence: k, Step: i}
-			if kept := steps[ref]; kept != nil {
-				e.restoreStep(j.occurrenceAt(k).steps[i], kept)
+			if stored := steps[ref]; stored != nil {
+				e.restoreStep(j.occurrenceAt(k).steps[i], stored)
 			}
 		}
 		if o := j.occurrences[k]; o != nil && o.remaining == 0 {
@@ -78,12 +78,12 @@
 
 // restoreEnded restores an ended job that may still have runs.
 func (e *Engine) restoreEnded(j *jobState, rec *record.Job) {
-	j.state, j.reportedState, j.ended, j.started = rec.State, rec.State, rec.Ended, true
+	j.state, j.reportedState, j.endedAt, j.started = rec.State, rec.State, rec.Ended, true
 	e.endedJobs = append(e.endedJobs, j)
 	j.eachStep(func(s *stepRun) {
 		for _, t := range s.tasks {
 			for _, r := range t.runs {
-				e.stop(r, "job has ended")
+				e.stopRun(r, "job has ended")
 			}
 		}
 	})
@@ -93,23 +93,23 @@
 // restoreStep applies the record of a step.
 func (e *Engine) restoreStep(s *stepRun, rec *record.Step) {
 	for i := range min(len(s.tasks), len(rec.Tasks)) {
-		t, kept := s.tasks[i], &rec.Tasks[i]
-		t.lastRun, t.failures, t.checkpoint = kept.Run, kept.Failures, kept.Checkpoint
-		s.lastGangRun = max(s.lastGangRun, kept.Run)
-		if kept.Run > 0 {
+		t, stored := s.tasks[i], &rec.Tasks[i]
+		t.lastRun, t.failures, t.checkpoint = stored.Run, stored.Failures, stored.Checkpoint
+		s.lastGangRun = max(s.lastGangRun, stored.Run)
+		if stored.Run > 0 {
 			s.job().started = true
 		}
-		if kept.Done {
+		if stored.Done {
 			t.done = true
 			s.remaining--
 			s.waiting--
 		}
-		if kept.Worker != "" {
-			e.restoreRun(t, kept)
+		if stored.Worker != "" {
+			e.restoreRun(t, stored)
 		}
-		if copied, ok := rec.Copies[i]; ok && copied.Worker != "" {
-			e.restoreRun(t, &copied)
-			t.lastRun = max(t.lastRun, copied.Run)
+		if speculative, ok := rec.Copies[i]; ok && speculative.Worker != "" {
+			e.restoreRun(t, &speculative)
+			t.lastRun = max(t.lastRun, speculative.Run)
 		}
 	}
 	e.restoreAdvice(s, rec)
@@ -136,11 +136,11 @@
 }
 
 // restoreRun restores a run. Its worker is added if the directory does not list it.
-func (e *Engine) restoreRun(t *task, kept *record.Task) {
-	w := e.workers[kept.Worker]
+func (e *Engine) restoreRun(t *task, stored *record.Task) {
+	w := e.workers[stored.Worker]
 	if w == nil {
-		w = newWorker(kept.Worker)
-		w.incarnation = kept.Life
+		w = newWorker(stored.Worker)
+		w.incarnation = stored.Life
 		w.unlistedSince = e.now
 		e.workers[w.id] = w
 		e.workerList = append(e.workerList, w)
@@ -148,7 +148,7 @@
 	if !t.hasRuns() && !t.done {
 		t.step.waiting--
 	}
-	r := &run{task: t, worker: w, incarnation: kept.Life, number: kept.Run, charge: t.step.charge, phase: planned, restored: true, startSent: true}
+	r := &run{task: t, worker: w, incarnation: stored.Life, number: stored.Run, charge: t.step.charge, phase: planned, restored: true, startSent: true}
 	t.runs = append(t.runs, r)
 	e.reserve(r)
 }
--- a/internal/cell/engine/round.go
+++ b/internal/cell/engine/round.go
@@ -17,8 +17,8 @@
 
 const (
 	// budgetFreeRatio and budgetCapacityRatio bound the CPU of the steps that a round
-	// tries, relative to the free CPU and to the total CPU of the service. It is enough
-	// to fill the CPU that is free and that which becomes free while an adviser answers.
+	// tries, relative to the free CPU and to the total CPU of the service. The steps are
+	// enough to use the CPU that is free and that becomes free while an adviser answers.
 	budgetFreeRatio     = 1.5
 	budgetCapacityRatio = 0.15
 	// gangHoldRatio is the part of a service's CPU that may be held for gangs that wait
--- a/internal/cell/engine/schedule.go
+++ b/internal/cell/engine/schedule.go
@@ -18,7 +18,7 @@
 	for _, s := range e.openSteps {
 		q := e.queueOf(s.job())
 		if q == nil || !s.open() {
-			continue // the queue is not declared any more
+			continue // the queue is not declared any more, or nothing is left to place
 		}
 		round := rounds[q.Service]
 		if round == nil {
--- a/internal/cell/engine/state.go
+++ b/internal/cell/engine/state.go
@@ -16,8 +16,8 @@
 	queue           string
 	team            string
 	spec            *job.Spec // nil for a job that was restored after its steps were compacted
-	accepted        int64     // Unix milliseconds
-	ended           int64     // Unix milliseconds
+	acceptedAt      int64     // Unix milliseconds
+	endedAt         int64     // Unix milliseconds
 	state           record.State
 	reportedState   record.State // what callers get; set to state once that is stored
 	stored          bool         // the job's acceptance is stored
@@ -74,7 +74,7 @@
 	lastFailedOn string // worker on which the last failed run was
 }
 
-// phase is the phase of a run's life cycle.
+// phase is the stage that a run has reached.
 type phase uint8
 
 const (
@@ -117,7 +117,7 @@
 func (s *stepRun) open() bool { return s.ready && s.waiting > 0 && s.job().state == record.Open }
 
 func newJob(spec *job.Spec, accepted int64) *jobState {
-	j := &jobState{id: spec.ID, queue: spec.Queue, team: spec.Team, spec: spec, accepted: accepted}
+	j := &jobState{id: spec.ID, queue: spec.Queue, team: spec.Team, spec: spec, acceptedAt: accepted}
 	j.remaining = spec.Occurrences()
 	j.occurrences = make([]*occurrence, spec.Occurrences())
 	return j
--- a/internal/cell/engine/stragglers.go
+++ b/internal/cell/engine/stragglers.go
@@ -51,9 +51,9 @@
 				if w.health.stalled(e.now) {
 					e.log.Warn("worker quarantined", "worker", w.id, "stalls", w.health.stalls, "for_ms", w.health.quarantineTime.Milliseconds())
 				}
-				e.stop(r, "no progress")
+				e.stopRun(r, "no progress")
 			case w.draining && e.mustEvacuate(r):
-				e.stop(r, "its worker leaves before it ends")
+				e.stopRun(r, "its worker leaves before it ends")
 			case r.task.step.spec.Speculative && len(r.task.runs) == 1 && e.worthSpeculating(r):
 				e.needsPlacement = true
 			}
@@ -83,7 +83,7 @@
 
 // remainingTime returns the remaining time of r, estimated from its progress so far. It
 // reports false if there is too little progress for an estimate.
-func (e *Engine) remaining(r *run) (time.Duration, bool) {
+func (e *Engine) remainingTime(r *run) (time.Duration, bool) {
 	gained := r.percent - r.basePercent
 	if gained < minProgressPercent || r.progressAt.Before(r.baseAt) {
 		return 0, false
@@ -98,7 +98,7 @@
 // goes on, as it may still finish, unless it needs much longer than the worker stays.
 func (e *Engine) mustEvacuate(r *run) bool {
 	untilLeave := r.worker.leavesAt.Sub(e.now)
-	remaining, known := e.remaining(r)
+	remaining, known := e.remainingTime(r)
 	if !known {
 		remaining = max(0, e.expectedRuntime(r)-e.now.Sub(r.startSentAt))
 	}
@@ -116,8 +116,8 @@
 
 const (
 	// evacuationMargin is the time before a worker leaves at which its runs are stopped,
-	// in addition to the time that a stop takes. The renewal that confirms the stop needs
-	// it.
+	// in addition to the time that a stop takes. It covers the renewal that confirms the
+	// stop.
 	evacuationMargin = 700 * time.Millisecond
 	// drainOverstay is how much longer than announced a draining worker usually stays.
 	drainOverstay = 2 * time.Second
@@ -148,7 +148,7 @@
 
 // worthSpeculating reports whether a new run of r's task is expected to end well before r.
 func (e *Engine) worthSpeculating(r *run) bool {
-	remaining, known := e.remaining(r)
+	remaining, known := e.remainingTime(r)
 	if !known {
 		return false
 	}
--- a/internal/cell/engine/workers.go
+++ b/internal/cell/engine/workers.go
@@ -35,11 +35,11 @@
 	nextRenewal      time.Time
 	lastAnswer       time.Time // when the last answer arrived
 	missedRenewals   int       // consecutive renewals without an answer
-	renewWithoutWait bool
-	cursor           int64 // number of the last finished run that is stored
-	appliedCursor    int64 // number of the last finished run that is applied
-	unstoredBatches  int   // batches of finished runs that are being stored
-	unknownRuns      int   // unknown runs in the last report; their resource use is unknown too
+	renewWithoutWait bool      // the next renewal asks for an immediate answer
+	cursor           int64     // number of the last finished run that is stored
+	appliedCursor    int64     // number of the last finished run that is applied
+	unstoredBatches  int       // batches of finished runs that are being stored
+	unknownRuns      int       // unknown runs in the last report; their resource use is unknown too
 	health           health
 }
 
@@ -56,7 +56,8 @@
 	return w.clock + int64(float64(at.Sub(w.clockAt).Milliseconds())*(1-clockDrift))
 }
 
-// noteClock records the worker's clock from an answer that arrived at the given time.
+// noteClock records the worker's clock, in ms, from an answer that arrived at the given
+// time.
 func (w *worker) noteClock(clock int64, at time.Time) {
 	if clock <= 0 {
 		return
@@ -66,9 +67,9 @@
 	w.missedRenewals = 0
 }
 
-// leasesLapseAt returns when the leases of all runs on the worker have certainly
+// leasesExpireAt returns when the leases of all runs on the worker have certainly
 // expired if the worker is not reached again.
-func (w *worker) leasesLapseAt() time.Time {
+func (w *worker) leasesExpireAt() time.Time {
 	remaining := time.Duration(float64(w.leaseEnd-w.clock)/(1-clockDrift)) * time.Millisecond
 	return w.clockAt.Add(max(0, remaining))
 }
--- a/internal/cell/engine/world_commands_test.go
+++ b/internal/cell/engine/world_commands_test.go
@@ -11,25 +11,27 @@
 	"pollenbend/internal/cell/job"
 )
 
-// order carries an order to a worker. It may get no answer and be carried out late.
-func (w *world) order(e *Engine, id string, timeout time.Duration, do func(*simWorker) any, unanswered any) {
+// sendCommand delivers a command to a worker. The command may get no answer and be
+// carried out late.
+func (w *world) sendCommand(e *Engine, id string, timeout time.Duration, fn func(*simWorker) any, unanswered any) {
 	s := w.workers[id]
-	if s.dark {
-		w.to(e, timeout, unanswered)
+	if s.unreachable {
+		w.deliver(e, timeout, unanswered)
 		return
 	}
-	if w.rand.Float64() < w.lateOrders {
-		w.to(e, timeout, unanswered)
-		w.after(2*time.Second+time.Duration(w.rand.Int64N(int64(8*time.Second))), func() { do(s) })
+	if w.rand.Float64() < w.lateCommandRatio {
+		w.deliver(e, timeout, unanswered)
+		w.after(2*time.Second+time.Duration(w.rand.Int64N(int64(8*time.Second))), func() { fn(s) })
 		return
 	}
-	w.after(simTick, func() { w.to(e, w.answerDelay, do(s)) })
+	w.after(simTick, func() { w.deliver(e, w.answerDelay, fn(s)) })
 }
 
-func (w *world) start(s *simWorker, a *Start, sent time.Time) any {
-	ev := &StartAnswered{Start: a, Life: s.life, Clock: w.now.UnixMilli()}
+// handleStart carries out a start command on a worker.
+func (w *world) handleStart(s *simWorker, a *Start, sent time.Time) any {
+	ev := &StartAnswered{Start: a, Life: s.incarnation, Clock: w.now.UnixMilli()}
 	switch {
-	case a.Life != s.life:
+	case a.Life != s.incarnation:
 		ev.Refusal = OtherLife
 		return ev
 	case w.term < s.fence || a.run.worker == nil:
@@ -42,19 +44,19 @@
 	if r := s.runs[a.Task]; r != nil && r.run == a.Run {
 		return ev
 	}
-	if s.barred[a.Task] >= a.Run {
+	if s.endedRuns[a.Task] >= a.Run {
 		ev.Refusal = OldRun
 		return ev
 	}
-	if end := time.UnixMilli(a.Deadline); end.After(s.lease) {
-		s.lease = end
+	if end := time.UnixMilli(a.Deadline); end.After(s.leaseEnd) {
+		s.leaseEnd = end
 	}
-	w.launch(s, a, sent)
+	w.startRun(s, a, sent)
 	return ev
 }
 
-// launch starts a run and checks the promises that concern a start.
-func (w *world) launch(s *simWorker, a *Start, sent time.Time) {
+// startRun starts a run and checks the invariants of a start.
+func (w *world) startRun(s *simWorker, a *Start, sent time.Time) {
 	w.starts++
 	ref, err := job.ParseTask(a.Task)
 	w.must(err)
@@ -71,7 +73,7 @@
 		t = &simTask{runs: make(map[string]*simRun)}
 		w.tasks[a.Task] = t
 	}
-	if t.done {
+	if t.acknowledged {
 		w.t.Errorf("%v: %s run %d started after its end was confirmed", w.now.Sub(w.begin), a.Task, a.Run)
 	}
 	if len(t.runs) > 0 && !step.Speculative {
@@ -80,51 +82,53 @@
 	for _, d := range step.DependsOn {
 		for i := range spec.Steps[d].Count {
 			if spec.Steps[d].Gang && i > 0 {
-				break // its members are done together
+				break // one member stands for all
 			}
 			before := job.TaskRef{StepRef: job.StepRef{Job: ref.Job, Occurrence: ref.Occurrence, Step: d}, Index: i}.String()
-			if !w.ended(before) && !(spec.Steps[d].Gang && w.anyEnded(ref, d, spec.Steps[d].Count)) {
+			if !w.succeeded(before) && !(spec.Steps[d].Gang && w.anySucceeded(ref, d, spec.Steps[d].Count)) {
 				w.t.Errorf("%s started before %s was done", a.Task, before)
 			}
 		}
 	}
-	if at, gone := w.killed[ref.Job]; gone && sent.Sub(at) > 3*time.Second {
+	if at, canceled := w.canceledAt[ref.Job]; canceled && sent.Sub(at) > 3*time.Second {
 		w.t.Errorf("%s started %v after its cancellation", a.Task, w.now.Sub(at))
 	}
-	r := &simRun{task: a.Task, run: a.Run, begun: w.now, length: step.Estimate, need: step.Need, fails: w.rand.Float64() < w.failing}
+	r := &simRun{task: a.Task, run: a.Run, startedAt: w.now, runtime: step.Estimate, need: step.Need, fails: w.rand.Float64() < w.failureRatio}
 	if step.Gang {
 		key := fmt.Sprintf("%s/%d", ref.StepRef, a.Run)
 		g := w.gangs[key]
 		if g == nil {
-			g = &simGang{members: make(map[string]*simRun), on: make(map[string]*simWorker), count: step.Count}
+			g = &simGang{members: make(map[string]*simRun), workers: make(map[string]*simWorker), count: step.Count}
 			w.gangs[key] = g
 		}
-		g.members[a.Task], g.on[a.Task] = r, s
+		g.members[a.Task], g.workers[a.Task] = r, s
 		r.gang = g
 	}
 	s.runs[a.Task] = r
 	t.runs[s.id] = r
-	t.last = max(t.last, a.Run)
-	w.checkRoom(s)
+	t.lastRun = max(t.lastRun, a.Run)
+	w.checkCapacity(s)
 	w.checkLimits(spec.Team)
 }
 
-// anyEnded reports whether a member of a gang is done: one end stands for all.
-func (w *world) anyEnded(ref job.TaskRef, step, count int) bool {
+// anySucceeded reports whether a member of a gang has succeeded, which counts for all.
+func (w *world) anySucceeded(ref job.TaskRef, step, count int) bool {
 	for i := range count {
-		if w.ended(job.TaskRef{StepRef: job.StepRef{Job: ref.Job, Occurrence: ref.Occurrence, Step: step}, Index: i}.String()) {
+		if w.succeeded(job.TaskRef{StepRef: job.StepRef{Job: ref.Job, Occurrence: ref.Occurrence, Step: step}, Index: i}.String()) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) ended(task string) bool {
+// succeeded reports whether a run of the task has succeeded.
+func (w *world) succeeded(task string) bool {
 	t := w.tasks[task]
-	return t != nil && t.reached
+	return t != nil && t.succeeded
 }
 
-func (w *world) checkRoom(s *simWorker) {
+// checkCapacity checks that the runs of a worker fit into its capacity.
+func (w *world) checkCapacity(s *simWorker) {
 	used := job.Resources{}
 	for _, r := range s.runs {
 		used = used.Add(r.need)
@@ -134,6 +138,7 @@
 	}
 }
 
+// checkLimits checks that the runs of a team are within its limit.
 func (w *world) checkLimits(team string) {
 	limit := w.policy.Team(team).Limit
 	used := job.Resources{}
@@ -149,47 +154,49 @@
 	}
 }
 
-func (w *world) stop(s *simWorker, a *Stop) any {
-	ev := &StopAnswered{Stop: a, Life: s.life}
-	if a.Life != s.life {
+// handleStop carries out a stop command on a worker.
+func (w *world) handleStop(s *simWorker, a *Stop) any {
+	ev := &StopAnswered{Stop: a, Life: s.incarnation}
+	if a.Life != s.incarnation {
 		ev.Refusal = OtherLife
 		return ev
 	}
-	s.barred[a.Task] = max(s.barred[a.Task], a.Run)
+	s.endedRuns[a.Task] = max(s.endedRuns[a.Task], a.Run)
 	if r := s.runs[a.Task]; r != nil && r.run <= a.Run {
 		w.after(100*time.Millisecond, func() { r.stopped = true })
 	}
 	return ev
 }
 
-func (w *world) look(e *Engine, a *Look) {
+// handleRenewal carries out a renewal on a worker.
+func (w *world) handleRenewal(e *Engine, a *Look) {
 	s := w.workers[a.Worker]
 	sent := w.now
-	if s.dark {
-		w.to(e, a.Timeout, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent})
+	if s.unreachable {
+		w.deliver(e, a.Timeout, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent})
 		return
 	}
 	w.after(simTick, func() {
-		if s.life != a.Life {
-			w.to(e, 0, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent, OtherLife: true})
+		if s.incarnation != a.Life {
+			w.deliver(e, 0, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent, OtherLife: true})
 			return
 		}
 		s.fence = max(s.fence, w.term)
-		if end := time.UnixMilli(a.Deadline); a.Deadline > 0 && end.After(s.lease) && w.engine == e {
-			s.lease = end
+		if end := time.UnixMilli(a.Deadline); a.Deadline > 0 && end.After(s.leaseEnd) && w.engine == e {
+			s.leaseEnd = end
 		}
-		w.confirm(s, a.Cursor)
+		w.acknowledge(s, a.Cursor)
 		answered, lost := false, false
 		answer := func() {
-			if a.Wait > 0 && w.loseLooks > 0 {
-				w.loseLooks--
+			if a.Wait > 0 && w.lostRenewals > 0 {
+				w.lostRenewals--
 				lost = true
 			}
-			if lost || answered || s.dark || s.life != a.Life {
+			if lost || answered || s.unreachable || s.incarnation != a.Life {
 				return
 			}
 			answered = true
-			w.to(e, simTick, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent, Report: w.report(s)})
+			w.deliver(e, simTick, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent, Report: w.report(s)})
 		}
 		w.after(a.Timeout, func() {
 			if !answered && w.engine == e {
@@ -201,31 +208,33 @@
 			answer()
 			return
 		}
-		s.waiting = append(s.waiting, answer)
+		s.pendingAnswers = append(s.pendingAnswers, answer)
 		w.after(a.Wait, answer)
 	})
 }
 
-func (w *world) confirm(s *simWorker, cursor int64) {
+// acknowledge removes the ends up to cursor from the worker's list.
+func (w *world) acknowledge(s *simWorker, cursor int64) {
 	kept := s.ended[:0]
 	for _, end := range s.ended {
 		if end.Number > cursor {
 			kept = append(kept, end)
 			continue
 		}
-		if end.How == EndedDone && end.Number > s.expired {
-			w.tasks[end.Task].done = true
+		if end.How == EndedDone && end.Number > s.expiredEnds {
+			w.tasks[end.Task].acknowledged = true
 		}
 	}
 	s.ended = kept
 }
 
+// report returns a worker's report.
 func (w *world) report(s *simWorker) *Report {
-	r := &Report{Life: s.life, Clock: w.now.UnixMilli(), Ended: slices.Clone(s.ended)}
+	r := &Report{Life: s.incarnation, Clock: w.now.UnixMilli(), Ended: slices.Clone(s.ended)}
 	for _, name := range sortedKeys(s.runs) {
 		u := s.runs[name]
-		percent := int(100 * float64(w.now.Sub(u.worksFrom())) / (float64(max(1, u.length)) * s.slow))
-		if u.gang != nil && u.gang.since.IsZero() {
+		percent := int(100 * float64(w.now.Sub(u.workStart())) / (float64(max(1, u.runtime)) * s.slowdown))
+		if u.gang != nil && u.gang.completeAt.IsZero() {
 			percent = 0
 		}
 		r.Running = append(r.Running, RunStatus{Task: name, Run: u.run, Percent: min(99, percent)})
@@ -233,14 +242,15 @@
 	return r
 }
 
-func (w *world) advise(a *Ask) map[string]string {
-	w.asked += len(a.Workers)
+// answerAdvice returns the adviser's tickets by worker.
+func (w *world) answerAdvice(a *Ask) map[string]string {
+	w.workersAsked += len(a.Workers)
 	good := make(map[string]string)
-	if w.goodFor != nil {
+	if w.isGood != nil {
 		task, err := job.ParseTask(a.Step + ".0")
 		w.must(err)
 		for _, id := range a.Workers {
-			if w.goodFor(task.StepRef, id) {
+			if w.isGood(task.StepRef, id) {
 				good[id] = "ticket"
 			}
 		}
@@ -249,7 +259,7 @@
 	for _, id := range a.Workers {
 		h := fnv.New32a()
 		_, _ = io.WriteString(h, a.Step+id)
-		if h.Sum32()%10 < 4 || id == "w00" || id == "w01" { // some worker may always run it
+		if h.Sum32()%10 < 4 || id == "w00" || id == "w01" { // at least these are good for every step
 			good[id] = "ticket"
 		}
 	}
--- a/internal/cell/engine/world_test.go
+++ b/internal/cell/engine/world_test.go
@@ -17,128 +17,129 @@
 	"pollenbend/internal/cell/record"
 )
 
-// world plays the store, the workers and the adviser around an engine in virtual
-// time, and checks what they see.
+// world simulates the store, the workers and the adviser of an engine in virtual time,
+// and checks the invariants that they can observe.
 type world struct {
-	t         *testing.T
-	rand      *rand.Rand
-	now       time.Time
-	begin     time.Time
-	agenda    agenda
-	scheduled int
-	engine    *Engine
-	term      int64
-	policy    *policy.Policy
-	stored    map[string][]byte
-	workers   map[string]*simWorker
-	ids       []string
-	tasks     map[string]*simTask
-	specs     map[string]*job.Spec
-	refused   map[string]bool // jobs whose every submission was refused
-	ok        map[string]bool // accepted jobs
-	killed    map[string]time.Time
-	answers   map[string]Answer
-	unwanted  map[string]bool          // jobs that a cancel was sent for; its answer may be lost
-	sent      map[string]time.Time     // when a job was handed in
-	took      map[string]time.Duration // until its last task ended
-
-	answerDelay  time.Duration // on the way back from an order
-	storeRefuses bool
-	storeSilent  bool
-	storeDelay   time.Duration    // on the way to the store, and on the way back
-	open         map[*Append]bool // an attempt had no certain outcome
-	asked        int              // workers that the adviser was asked about
-	adviceFails  bool
-	goodFor      func(step job.StepRef, worker string) bool // nil for four workers in ten
-	lateOrders   float64                                    // share of orders that are carried out late, without an answer
-	loseStarts   int                                        // so many starts are carried out late, without an answer
-	loseLooks    int                                        // so many looks that may be held back are not answered
-	loseAnswers  int                                        // so many starts are carried out, but not answered
-	failing      float64                                    // share of runs that fail
-	starts       int
-	arms         []string
-	gangs        map[string]*simGang // by step and run
-	alone        int                 // members that waited in vain
+	t               *testing.T
+	rand            *rand.Rand
+	now             time.Time
+	begin           time.Time
+	events          eventQueue
+	nextSeq         int
+	engine          *Engine
+	term            int64
+	policy          *policy.Policy
+	stored          map[string][]byte
+	workers         map[string]*simWorker
+	ids             []string
+	tasks           map[string]*simTask
+	specs           map[string]*job.Spec
+	refused         map[string]bool // jobs whose every submission was refused
+	accepted        map[string]bool // accepted jobs
+	canceledAt      map[string]time.Time
+	answers         map[string]Answer
+	cancelRequested map[string]bool          // jobs for which a cancel was sent; its answer may be lost
+	submittedAt     map[string]time.Time     // when a job was submitted
+	turnaround      map[string]time.Duration // from a job's submission to the last success of a task
+
+	answerDelay      time.Duration // of the answer to a command
+	storeRefuses     bool
+	storeHangs       bool
+	storeDelay       time.Duration    // of an append, and of its answer
+	uncertain        map[*Append]bool // appends with an attempt of unknown outcome
+	workersAsked     int              // number of workers that the adviser was asked about
+	adviceFails      bool
+	isGood           func(step job.StepRef, worker string) bool // if nil, about four workers in ten are good
+	lateCommandRatio float64                                    // share of commands that are carried out late, without an answer
+	lostStarts       int                                        // number of starts that will be carried out late, without an answer
+	lostRenewals     int                                        // number of renewals with a wait that will get no answer
+	lostStartAnswers int                                        // number of starts that will be carried out, but not answered
+	failureRatio     float64                                    // share of runs that fail
+	starts           int
+	delegates        []string
+	gangs            map[string]*simGang // by step and run
+	gangTimeouts     int                 // members that ended because their gang was not complete in time
 }
 
-// simTask is what really happened to a task.
+// simTask is the actual state of a task, as the workers see it.
 type simTask struct {
-	runs    map[string]*simRun // by worker
-	reached bool               // a run has ended as done
-	done    bool               // and that end was confirmed
-	last    int                // highest run number started
+	runs         map[string]*simRun // by worker
+	succeeded    bool               // a run has succeeded
+	acknowledged bool               // the engine has acknowledged that end
+	lastRun      int                // highest run number started
 }
 
 type simRun struct {
-	task    string
-	run     int
-	begun   time.Time
-	length  time.Duration
-	fails   bool
-	need    job.Resources
-	stopped bool
-	gang    *simGang
+	task      string
+	run       int
+	startedAt time.Time
+	runtime   time.Duration
+	fails     bool
+	need      job.Resources
+	stopped   bool
+	gang      *simGang
 }
 
-func (r *simRun) worksFrom() time.Time {
+// workStart returns when r began to work; a member of a gang waits for the others.
+func (r *simRun) workStart() time.Time {
 	if r.gang != nil {
-		return r.gang.since
+		return r.gang.completeAt
 	}
-	return r.begun
+	return r.startedAt
 }
 
 // simGang is one run of a gang.
 type simGang struct {
-	members map[string]*simRun // by task, with the worker of each
-	on      map[string]*simWorker
-	count   int
-	since   time.Time // when all members were present
+	members    map[string]*simRun // by task
+	workers    map[string]*simWorker
+	count      int
+	completeAt time.Time // when all members were present
 }
 
-// together reports whether the gang of r has begun to work.
-func (w *world) together(r *simRun) bool {
-	if r.gang.since.IsZero() && len(r.gang.members) == r.gang.count {
-		r.gang.since = w.now
+// gangComplete reports whether all members of the gang of r have started.
+func (w *world) gangComplete(r *simRun) bool {
+	if r.gang.completeAt.IsZero() && len(r.gang.members) == r.gang.count {
+		r.gang.completeAt = w.now
 	}
-	return !r.gang.since.IsZero()
+	return !r.gang.completeAt.IsZero()
 }
 
-// simWorker is a worker as the platform describes it.
+// simWorker simulates a worker as the platform specifies it.
 type simWorker struct {
-	id       string
-	life     int64
-	capacity job.Resources
-	fence    int64
-	lease    time.Time
-	runs     map[string]*simRun
-	ended    []RunEnd
-	numbers  int64
-	barred   map[string]int // highest run that was stopped or has ended, by task
-	dark     bool
-	draining bool
-	waiting  []func()
-	slow     float64
-	expired  int64 // ends up to here were listed when the lease had run out
+	id             string
+	incarnation    int64
+	capacity       job.Resources
+	fence          int64
+	leaseEnd       time.Time
+	runs           map[string]*simRun
+	ended          []RunEnd
+	lastEnd        int64
+	endedRuns      map[string]int // highest run number that was stopped or has ended, by task
+	unreachable    bool
+	draining       bool
+	pendingAnswers []func()
+	slowdown       float64
+	expiredEnds    int64 // number of the last end that was in the list when the lease had expired
 }
 
 type event struct {
 	at  time.Time
-	seq int // in the order of scheduling
-	do  func()
+	seq int // order among events of the same time
+	fn  func()
 }
 
-type agenda []event
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	if a[i].at.Equal(a[j].at) {
 		return a[i].seq < a[j].seq
 	}
 	return a[i].at.Before(a[j].at)
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	old := *a
 	last := old[len(old)-1]
 	*a = old[:len(old)-1]
@@ -182,32 +183,32 @@
 	w := &world{
 		t: t, rand: rand.New(rand.NewPCG(seed, 1)), now: begin, begin: begin, policy: simPolicy(),
 		stored: make(map[string][]byte), workers: make(map[string]*simWorker), tasks: make(map[string]*simTask),
-		specs: make(map[string]*job.Spec), refused: make(map[string]bool), ok: make(map[string]bool),
-		killed: make(map[string]time.Time), answers: make(map[string]Answer), unwanted: make(map[string]bool),
-		sent: make(map[string]time.Time), took: make(map[string]time.Duration), arms: []string{"i1", "i2", "i3"},
+		specs: make(map[string]*job.Spec), refused: make(map[string]bool), accepted: make(map[string]bool),
+		canceledAt: make(map[string]time.Time), answers: make(map[string]Answer), cancelRequested: make(map[string]bool),
+		submittedAt: make(map[string]time.Time), turnaround: make(map[string]time.Duration), delegates: []string{"i1", "i2", "i3"},
 		gangs: make(map[string]*simGang),
 	}
 	for i := range workers {
 		id := fmt.Sprintf("w%02d", i)
 		w.ids = append(w.ids, id)
-		w.workers[id] = &simWorker{id: id, life: 1, capacity: job.Resources{CPU: 8000, MemMB: 16000},
-			runs: make(map[string]*simRun), barred: make(map[string]int), slow: 1}
+		w.workers[id] = &simWorker{id: id, incarnation: 1, capacity: job.Resources{CPU: 8000, MemMB: 16000},
+			runs: make(map[string]*simRun), endedRuns: make(map[string]int), slowdown: 1}
 	}
-	w.lead()
+	w.startLeader()
 	return w
 }
 
-// lead starts a new leader on what is stored. The one before is forgotten.
-func (w *world) lead() {
+// startLeader replaces the engine by that of a new leader with the stored records.
+func (w *world) startLeader() {
 	w.term++
-	w.open = make(map[*Append]bool)
+	w.uncertain = make(map[*Append]bool)
 	cfg := simConfig()
 	cfg.Term = w.term
 	cfg.Clock = func() time.Time { return w.now }
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	w.engine = New(cfg, log, func() int64 { return w.now.UnixMilli() }, w.now)
 	debugLog(w.t, w)
-	w.engine.Handle(w.now, &WorkersListed{Workers: w.listed()})
+	w.engine.Handle(w.now, &WorkersListed{Workers: w.directory()})
 	state := Restored{Jobs: make(map[string]*record.Job), Steps: make(map[job.StepRef]*record.Step)}
 	for key, value := range w.stored {
 		id, step, err := record.ParseKey(key)
@@ -226,7 +227,7 @@
 	}
 	w.engine.Restore(state)
 	w.engine.Handle(w.now, &PolicyChanged{Policy: w.policy})
-	w.engine.Handle(w.now, &ArmsChanged{Arms: w.arms})
+	w.engine.Handle(w.now, &ArmsChanged{Arms: w.delegates})
 }
 
 func (w *world) must(err error) {
@@ -235,23 +236,25 @@
 	}
 }
 
-func (w *world) listed() []Listed {
+// directory returns the directory's entries of the workers.
+func (w *world) directory() []Listed {
 	var list []Listed
 	for _, id := range w.ids {
 		s := w.workers[id]
-		list = append(list, Listed{ID: id, Life: s.life, Address: id, Service: "s", Labels: []string{"a", "r1-" + id[2:]},
+		list = append(list, Listed{ID: id, Life: s.incarnation, Address: id, Service: "s", Labels: []string{"a", "r1-" + id[2:]},
 			Capacity: s.capacity, Draining: s.draining, Leaves: 2 * time.Second})
 	}
 	return list
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.scheduled++
-	heap.Push(&w.agenda, event{w.now.Add(d), w.scheduled, do})
+// after calls fn after a delay.
+func (w *world) after(d time.Duration, fn func()) {
+	w.nextSeq++
+	heap.Push(&w.events, event{w.now.Add(d), w.nextSeq, fn})
 }
 
-// to hands an event to the engine that was current when the event was asked for.
-func (w *world) to(e *Engine, d time.Duration, ev any) {
+// deliver delivers an event to e after a delay unless e has been replaced.
+func (w *world) deliver(e *Engine, d time.Duration, ev any) {
 	w.after(d, func() {
 		if w.engine == e {
 			e.Handle(w.now, ev)
@@ -259,28 +262,30 @@
 	})
 }
 
+// run advances the time by d.
 func (w *world) run(d time.Duration) {
 	end := w.now.Add(d)
 	for w.now.Before(end) {
 		w.now = w.now.Add(simTick)
-		for len(w.agenda) > 0 && !w.agenda[0].at.After(w.now) {
-			heap.Pop(&w.agenda).(event).do()
+		for len(w.events) > 0 && !w.events[0].at.After(w.now) {
+			heap.Pop(&w.events).(event).fn()
 		}
 		for _, id := range w.ids {
-			w.progress(w.workers[id])
+			w.endDueRuns(w.workers[id])
 		}
 		for _, a := range w.engine.Settle(w.now) {
-			w.carryOut(a)
+			w.execute(a)
 		}
 	}
 }
 
-func (w *world) list() { w.engine.Handle(w.now, &WorkersListed{Workers: w.listed()}) }
+// publishDirectory sends the directory to the engine.
+func (w *world) publishDirectory() { w.engine.Handle(w.now, &WorkersListed{Workers: w.directory()}) }
 
-// progress lets the runs of a worker end that are due.
-func (w *world) progress(s *simWorker) {
-	if w.now.After(s.lease) {
-		s.expired = s.numbers
+// endDueRuns ends the runs of a worker that are due to end.
+func (w *world) endDueRuns(s *simWorker) {
+	if w.now.After(s.leaseEnd) {
+		s.expiredEnds = s.lastEnd
 	}
 	for _, name := range sortedKeys(s.runs) {
 		r := s.runs[name]
@@ -288,40 +293,41 @@
 			continue // ended with its gang
 		}
 		switch {
-		case w.now.After(s.lease):
-			w.end(s, r, EndedLapsed)
+		case w.now.After(s.leaseEnd):
+			w.endRun(s, r, EndedLapsed)
 		case r.stopped:
-			w.end(s, r, EndedStopped)
-		case r.gang != nil && !w.together(r):
-			if w.now.Sub(r.begun) > simConfig().GangWait {
-				w.alone++
-				w.end(s, r, EndedAlone)
+			w.endRun(s, r, EndedStopped)
+		case r.gang != nil && !w.gangComplete(r):
+			if w.now.Sub(r.startedAt) > simConfig().GangWait {
+				w.gangTimeouts++
+				w.endRun(s, r, EndedAlone)
 			}
-		case w.now.Sub(r.worksFrom()) >= time.Duration(float64(r.length)*s.slow):
+		case w.now.Sub(r.workStart()) >= time.Duration(float64(r.runtime)*s.slowdown):
 			how := EndedDone
 			if r.fails {
 				how = EndedFailed
 			}
-			w.end(s, r, how)
+			w.endRun(s, r, how)
 		}
 	}
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-func (w *world) end(s *simWorker, r *simRun, how How) {
+// endRun ends a run and answers the renewals that wait for an end.
+func (w *world) endRun(s *simWorker, r *simRun, how How) {
 	delete(s.runs, r.task)
 	delete(w.tasks[r.task].runs, s.id)
-	s.barred[r.task] = max(s.barred[r.task], r.run)
+	s.endedRuns[r.task] = max(s.endedRuns[r.task], r.run)
 	if how == EndedDone {
-		w.tasks[r.task].reached = true
+		w.tasks[r.task].succeeded = true
 		id := strings.SplitN(r.task, ".", 2)[0]
-		w.took[id] = w.now.Sub(w.sent[id])
+		w.turnaround[id] = w.now.Sub(w.submittedAt[id])
 	}
-	s.numbers++
-	s.ended = append(s.ended, RunEnd{Number: s.numbers, Task: r.task, Run: r.run, How: how})
-	waiting := s.waiting
-	s.waiting = nil
+	s.lastEnd++
+	s.ended = append(s.ended, RunEnd{Number: s.lastEnd, Task: r.task, Run: r.run, How: how})
+	waiting := s.pendingAnswers
+	s.pendingAnswers = nil
 	for _, f := range waiting {
 		f()
 	}
@@ -330,76 +336,78 @@
 	}
 }
 
-// endGang ends the other members with the first: as done with it, or as broken.
+// endGang ends the other members of a complete gang after one has ended: as done if it is
+// done, else as broken.
 func (w *world) endGang(r *simRun, how How) {
 	delete(r.gang.members, r.task)
 	if how != EndedDone {
 		how = EndedBroken
 	}
-	if r.gang.since.IsZero() {
+	if r.gang.completeAt.IsZero() {
 		return
 	}
 	for _, name := range sortedKeys(r.gang.members) {
 		m := r.gang.members[name]
 		delete(r.gang.members, name)
-		if r.gang.on[name].runs[name] == m {
+		if r.gang.workers[name].runs[name] == m {
 			m.gang = nil
-			w.end(r.gang.on[name], m, how)
+			w.endRun(r.gang.workers[name], m, how)
 		}
 	}
 }
 
-// crash ends a worker's life and starts the next.
-func (w *world) crash(id string) {
+// restartWorker ends a worker's incarnation, with its runs, and starts the next.
+func (w *world) restartWorker(id string) {
 	s := w.workers[id]
 	for _, name := range sortedKeys(s.runs) {
 		delete(w.tasks[name].runs, id)
 	}
-	s.life++
-	s.expired = 0
-	s.fence, s.runs, s.ended, s.numbers = 0, make(map[string]*simRun), nil, 0
-	s.barred = make(map[string]int)
-	s.waiting = nil
-	w.list()
+	s.incarnation++
+	s.expiredEnds = 0
+	s.fence, s.runs, s.ended, s.lastEnd = 0, make(map[string]*simRun), nil, 0
+	s.endedRuns = make(map[string]int)
+	s.pendingAnswers = nil
+	w.publishDirectory()
 }
 
-func (w *world) carryOut(action any) {
+// execute carries out an action of the engine.
+func (w *world) execute(action any) {
 	e := w.engine
 	switch a := action.(type) {
 	case *Append:
 		w.appendRecords(e, a)
 	case *Start:
 		sent := w.now
-		do := func(s *simWorker) any { return w.start(s, a, sent) }
+		fn := func(s *simWorker) any { return w.handleStart(s, a, sent) }
 		unanswered := &StartAnswered{Start: a, Refusal: Unknown}
 		switch {
-		case w.loseStarts > 0:
-			w.loseStarts--
-			w.to(e, a.Timeout, unanswered)
-			w.after(5*time.Second, func() { do(w.workers[a.Worker]) })
-		case w.loseAnswers > 0:
-			w.loseAnswers--
-			w.to(e, a.Timeout, unanswered)
-			w.after(simTick, func() { do(w.workers[a.Worker]) })
+		case w.lostStarts > 0:
+			w.lostStarts--
+			w.deliver(e, a.Timeout, unanswered)
+			w.after(5*time.Second, func() { fn(w.workers[a.Worker]) })
+		case w.lostStartAnswers > 0:
+			w.lostStartAnswers--
+			w.deliver(e, a.Timeout, unanswered)
+			w.after(simTick, func() { fn(w.workers[a.Worker]) })
 		default:
-			w.order(e, a.Worker, a.Timeout, do, unanswered)
+			w.sendCommand(e, a.Worker, a.Timeout, fn, unanswered)
 		}
 	case *Stop:
-		w.order(e, a.Worker, a.Timeout, func(s *simWorker) any { return w.stop(s, a) }, &StopAnswered{Stop: a, Refusal: Unknown})
+		w.sendCommand(e, a.Worker, a.Timeout, func(s *simWorker) any { return w.handleStop(s, a) }, &StopAnswered{Stop: a, Refusal: Unknown})
 	case *Look:
-		w.look(e, a)
+		w.handleRenewal(e, a)
 	case *Ask:
 		if w.adviceFails {
-			w.to(e, simTick, &Advised{Ask: a})
+			w.deliver(e, simTick, &Advised{Ask: a})
 			return
 		}
-		w.to(e, a.Cost, &Advised{Ask: a, OK: true, TTL: 1500 * time.Millisecond, Good: w.advise(a)})
+		w.deliver(e, a.Cost, &Advised{Ask: a, OK: true, TTL: 1500 * time.Millisecond, Good: w.answerAdvice(a)})
 	case *StepDown:
 		w.t.Fatalf("the engine stepped down: %s", a.Why)
 	}
 }
 
-// appendRecords stores a batch as the platform does: not for a leader that a later
+// appendRecords stores a batch as the platform does, which rejects a leader that a later
 // one has fenced off.
 func (w *world) appendRecords(e *Engine, a *Append) {
 	again := func() {
@@ -410,14 +418,14 @@
 		})
 	}
 	switch {
-	case w.storeRefuses && !w.open[a]:
-		w.to(e, simTick, &Appended{Append: a, Outcome: NotStored})
+	case w.storeRefuses && !w.uncertain[a]:
+		w.deliver(e, simTick, &Appended{Append: a, Outcome: NotStored})
 		return
 	case w.storeRefuses:
 		again()
 		return
-	case w.storeSilent:
-		w.open[a] = true
+	case w.storeHangs:
+		w.uncertain[a] = true
 		again()
 		return
 	}
@@ -432,22 +440,23 @@
 			}
 			w.stored[r.Key] = r.Value
 		}
-		w.to(e, w.storeDelay, &Appended{Append: a, Outcome: Stored})
+		w.deliver(e, w.storeDelay, &Appended{Append: a, Outcome: Stored})
 	})
 }
 
-// submit hands a job in and notes the answer when it comes.
+// submit submits a job and returns its id. The answer is recorded when it arrives.
 func (w *world) submit(queue, team string, steps ...job.Step) string {
 	id := fmt.Sprintf("%016x", len(w.specs)+1)
 	spec := &job.Spec{ID: id, Queue: queue, Team: team, Payload: "p", Steps: steps}
 	w.must(spec.Validate())
 	w.specs[id] = spec
-	w.sent[id] = w.now
-	w.send(spec)
+	w.submittedAt[id] = w.now
+	w.sendSubmit(spec)
 	return id
 }
 
-func (w *world) send(spec *job.Spec) {
+// sendSubmit submits a job of the given spec and records the answer.
+func (w *world) sendSubmit(spec *job.Spec) {
 	e := w.engine
 	e.Handle(w.now, &Submit{Spec: spec, Reply: func(a Answer) {
 		if w.engine != e {
@@ -455,10 +464,11 @@
 		}
 		w.answers[spec.ID] = a
 		w.refused[spec.ID] = a.Outcome == Refused
-		w.ok[spec.ID] = w.ok[spec.ID] || a.Outcome == OK
+		w.accepted[spec.ID] = w.accepted[spec.ID] || a.Outcome == OK
 	}})
 }
 
+// state returns the state that the engine reports for a job, or "unknown".
 func (w *world) state(id string) string {
 	state := ""
 	w.engine.Handle(w.now, &Status{ID: id, Team: w.specs[id].Team, Reply: func(a Answer) {
@@ -470,23 +480,25 @@
 	return state
 }
 
-// cancel cancels a job; the time counts from the answer.
+// cancel cancels a job. canceledAt is set when the answer arrives.
 func (w *world) cancel(id string) {
 	e := w.engine
-	w.unwanted[id] = true
+	w.cancelRequested[id] = true
 	e.Handle(w.now, &Cancel{ID: id, Team: w.specs[id].Team, Reply: func(Answer) {
 		if w.engine == e {
-			w.killed[id] = w.now
+			w.canceledAt[id] = w.now
 		}
 	}})
 }
 
-func tasks(count int, cpu int64, length time.Duration) job.Step {
-	return job.Step{Count: count, Need: job.Resources{CPU: cpu, MemMB: 100}, Estimate: length}
+// tasks returns a step of independent tasks. cpu is in thousandths of a core.
+func tasks(count int, cpu int64, runtime time.Duration) job.Step {
+	return job.Step{Count: count, Need: job.Resources{CPU: cpu, MemMB: 100}, Estimate: runtime}
 }
 
-func gang(count int, cpu int64, length time.Duration) job.Step {
-	s := tasks(count, cpu, length)
+// gang returns a step whose tasks are a gang.
+func gang(count int, cpu int64, runtime time.Duration) job.Step {
+	s := tasks(count, cpu, runtime)
 	s.Gang = true
 	return s
 }
