--- a/internal/cell/engine/debug_test.go
+++ b/internal/cell/engine/debug_test.go
@@ -6,11 +6,12 @@
 	"testing"
 )
 
+// debugLog prints the engine's log with virtual time if WORLD_LOG is set.
 func debugLog(t *testing.T, w *world) {
 	if os.Getenv("WORLD_LOG") != "" {
 		w.engine.log = slog.New(slog.NewTextHandler(os.Stdout, &slog.HandlerOptions{ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
 			if a.Key == slog.TimeKey {
-				return slog.String("t", w.now.Sub(w.begin).String())
+				return slog.String("t", w.now.Sub(w.startTime).String())
 			}
 			return a
 		}}))
--- a/internal/cell/engine/gangs_test.go
+++ b/internal/cell/engine/gangs_test.go
@@ -15,13 +15,13 @@
 // newAdvisedWorld returns a world of equal workers in which all queues but "plain" need
 // advice. The adviser finds about 25% of the workers good for a step of gangs, 45% for
 // batch and 70% for urgent.
-func newAdvisedWorld(t *testing.T, workers int, arms int) *world {
+func newAdvisedWorld(t *testing.T, workers int, delegates int) *world {
 	w := newWorld(t, workers, 7)
 	for _, s := range w.workers {
 		s.capacity = job.Resources{CPU: 32000, MemMB: 64000}
 	}
 	w.delegates = nil
-	for i := range arms {
+	for i := range delegates {
 		w.delegates = append(w.delegates, fmt.Sprintf("i%d", i))
 	}
 	ttl := 1500 * time.Millisecond
@@ -97,7 +97,7 @@
 
 // The adviser accepts at most a hundred workers in a call, so a batch step with more
 // expired tickets renews them in several calls.
-func TestCallNamesNoMoreWorkersThanTheAdviserTakes(t *testing.T) {
+func TestAdviserCallsStayWithinTheMaximumOfWorkers(t *testing.T) {
 	w := newAdvisedWorld(t, 350, 36)
 	w.run(time.Second)
 	id := w.submit("batch", "a", tasks(150, 20000, time.Second))
--- a/internal/cell/engine/jobs.go
+++ b/internal/cell/engine/jobs.go
@@ -231,13 +231,13 @@
 
 // hasRuns reports whether a task of j has a run.
 func (j *jobState) hasRuns() bool {
-	live := false
+	found := false
 	j.eachStep(func(s *stepRun) {
 		for _, t := range s.tasks {
-			live = live || t.hasRuns()
+			found = found || t.hasRuns()
 		}
 	})
-	return live
+	return found
 }
 
 // compactJob removes the steps of an ended job from the store once the job has no
--- a/internal/cell/engine/overload_test.go
+++ b/internal/cell/engine/overload_test.go
@@ -40,7 +40,7 @@
 		switch {
 		case w.accepted[id]:
 			accepted++
-			if took, over := w.turnaround[id]; over && took <= 1450*time.Millisecond {
+			if took, ended := w.turnaround[id]; ended && took <= 1450*time.Millisecond {
 				inTime++
 			}
 		case w.refused[id]:
--- a/internal/cell/engine/world_commands_test.go
+++ b/internal/cell/engine/world_commands_test.go
@@ -65,7 +65,7 @@
 		w.t.Fatalf("%s: started, but never submitted", a.Task)
 	}
 	if w.refused[ref.Job] {
-		w.t.Errorf("%v: %s started, although every submission was refused", w.now.Sub(w.begin), a.Task)
+		w.t.Errorf("%v: %s started, although every submission was refused", w.now.Sub(w.startTime), a.Task)
 	}
 	step := &spec.Steps[ref.Step]
 	t := w.tasks[a.Task]
@@ -74,10 +74,10 @@
 		w.tasks[a.Task] = t
 	}
 	if t.acknowledged {
-		w.t.Errorf("%v: %s run %d started after its end was confirmed", w.now.Sub(w.begin), a.Task, a.Run)
+		w.t.Errorf("%v: %s run %d started after its end was acknowledged", w.now.Sub(w.startTime), a.Task, a.Run)
 	}
 	if len(t.runs) > 0 && !step.Speculative {
-		w.t.Errorf("%v: %s run %d on %s while it runs on %v", w.now.Sub(w.begin), a.Task, a.Run, s.id, sortedKeys(t.runs))
+		w.t.Errorf("%v: %s run %d on %s while it runs on %v", w.now.Sub(w.startTime), a.Task, a.Run, s.id, sortedKeys(t.runs))
 	}
 	for _, d := range step.DependsOn {
 		for i := range spec.Steps[d].Count {
@@ -134,7 +134,7 @@
 		used = used.Add(r.need)
 	}
 	if !used.Fits(s.capacity) {
-		w.t.Errorf("%v: %s runs %v, more than its capacity %v", w.now.Sub(w.begin), s.id, used, s.capacity)
+		w.t.Errorf("%v: %s runs %v, more than its capacity %v", w.now.Sub(w.startTime), s.id, used, s.capacity)
 	}
 }
 
@@ -213,7 +213,8 @@
 	})
 }
 
-// acknowledge removes the ends up to cursor from the worker's list.
+// acknowledge removes the ends up to cursor from the worker's list and marks the tasks
+// whose success is acknowledged while the lease is valid.
 func (w *world) acknowledge(s *simWorker, cursor int64) {
 	kept := s.ended[:0]
 	for _, end := range s.ended {
--- a/internal/cell/engine/world_test.go
+++ b/internal/cell/engine/world_test.go
@@ -23,7 +23,7 @@
 	t               *testing.T
 	rand            *rand.Rand
 	now             time.Time
-	begin           time.Time
+	startTime       time.Time
 	events          eventQueue
 	nextSeq         int
 	engine          *Engine
@@ -90,8 +90,8 @@
 
 // simGang is one run of a gang.
 type simGang struct {
-	members    map[string]*simRun // by task
-	workers    map[string]*simWorker
+	members    map[string]*simRun    // by task
+	workers    map[string]*simWorker // by task
 	count      int
 	completeAt time.Time // when all members were present
 }
@@ -119,7 +119,7 @@
 	draining       bool
 	pendingAnswers []func()
 	slowdown       float64
-	expiredEnds    int64 // number of the last end that was in the list when the lease had expired
+	expiredEnds    int64 // number of the last end that was listed when the lease had expired
 }
 
 type event struct {
@@ -179,9 +179,9 @@
 }
 
 func newWorld(t *testing.T, workers int, seed uint64) *world {
-	begin := time.Unix(1_700_000_000, 0)
+	now := time.Unix(1_700_000_000, 0)
 	w := &world{
-		t: t, rand: rand.New(rand.NewPCG(seed, 1)), now: begin, begin: begin, policy: simPolicy(),
+		t: t, rand: rand.New(rand.NewPCG(seed, 1)), now: now, startTime: now, policy: simPolicy(),
 		stored: make(map[string][]byte), workers: make(map[string]*simWorker), tasks: make(map[string]*simTask),
 		specs: make(map[string]*job.Spec), refused: make(map[string]bool), accepted: make(map[string]bool),
 		canceledAt: make(map[string]time.Time), answers: make(map[string]Answer), cancelRequested: make(map[string]bool),
@@ -216,14 +216,14 @@
 			w.t.Fatal(err)
 		}
 		if step != nil {
-			kept := new(record.Step)
-			w.must(record.Decode(value, kept))
-			state.Steps[*step] = kept
+			rec := new(record.Step)
+			w.must(record.Decode(value, rec))
+			state.Steps[*step] = rec
 			continue
 		}
-		kept := new(record.Job)
-		w.must(record.Decode(value, kept))
-		state.Jobs[id] = kept
+		rec := new(record.Job)
+		w.must(record.Decode(value, rec))
+		state.Jobs[id] = rec
 	}
 	w.engine.Restore(state)
 	w.engine.Handle(w.now, &PolicyChanged{Policy: w.policy})
@@ -410,7 +410,7 @@
 // appendRecords stores a batch as the platform does, which rejects a leader that a later
 // one has fenced off.
 func (w *world) appendRecords(e *Engine, a *Append) {
-	again := func() {
+	retry := func() {
 		w.after(50*time.Millisecond, func() {
 			if w.engine == e {
 				w.appendRecords(e, a)
@@ -422,11 +422,11 @@
 		w.deliver(e, simTick, &Appended{Append: a, Outcome: NotStored})
 		return
 	case w.storeRefuses:
-		again()
+		retry()
 		return
 	case w.storeHangs:
 		w.uncertain[a] = true
-		again()
+		retry()
 		return
 	}
 	w.after(2*simTick+w.storeDelay, func() {
