--- /dev/null
+++ b/internal/cell/engine/world_commands_test.go
@@ -0,0 +1,268 @@
+package engine
+
+import (
+	"fmt"
+	"hash/fnv"
+	"io"
+	"slices"
+	"strings"
+	"time"
+
+	"pollenbend/internal/cell/job"
+)
+
+// sendCommand delivers a command to a worker. The command may get no answer and be
+// carried out late.
+func (w *world) sendCommand(e *Engine, id string, timeout time.Duration, fn func(*simWorker) any, unanswered any) {
+	s := w.workers[id]
+	if s.unreachable {
+		w.deliver(e, timeout, unanswered)
+		return
+	}
+	if w.rand.Float64() < w.lateCommandRatio {
+		w.deliver(e, timeout, unanswered)
+		w.after(2*time.Second+time.Duration(w.rand.Int64N(int64(8*time.Second))), func() { fn(s) })
+		return
+	}
+	w.after(simTick, func() { w.deliver(e, w.answerDelay, fn(s)) })
+}
+
+// handleStart carries out a start command on a worker.
+func (w *world) handleStart(s *simWorker, a *Start, sent time.Time) any {
+	ev := &StartAnswered{Start: a, Life: s.incarnation, Clock: w.now.UnixMilli()}
+	switch {
+	case a.Life != s.incarnation:
+		ev.Refusal = OtherLife
+		return ev
+	case w.term < s.fence || a.run.worker == nil:
+		ev.Refusal = Fenced
+		return ev
+	case a.Deadline < w.now.UnixMilli():
+		ev.Refusal = TooLate
+		return ev
+	}
+	if r := s.runs[a.Task]; r != nil && r.run == a.Run {
+		return ev
+	}
+	if s.endedRuns[a.Task] >= a.Run {
+		ev.Refusal = OldRun
+		return ev
+	}
+	if end := time.UnixMilli(a.Deadline); end.After(s.leaseEnd) {
+		s.leaseEnd = end
+	}
+	w.startRun(s, a, sent)
+	return ev
+}
+
+// startRun starts a run and checks the invariants of a start.
+func (w *world) startRun(s *simWorker, a *Start, sent time.Time) {
+	w.starts++
+	ref, err := job.ParseTask(a.Task)
+	w.must(err)
+	spec := w.specs[ref.Job]
+	if spec == nil {
+		w.t.Fatalf("%s: started, but never submitted", a.Task)
+	}
+	if w.refused[ref.Job] {
+		w.t.Errorf("%v: %s started, although every submission was refused", w.now.Sub(w.startTime), a.Task)
+	}
+	step := &spec.Steps[ref.Step]
+	t := w.tasks[a.Task]
+	if t == nil {
+		t = &simTask{runs: make(map[string]*simRun)}
+		w.tasks[a.Task] = t
+	}
+	if t.acknowledged {
+		w.t.Errorf("%v: %s run %d started after its end was acknowledged", w.now.Sub(w.startTime), a.Task, a.Run)
+	}
+	if len(t.runs) > 0 && !step.Speculative {
+		w.t.Errorf("%v: %s run %d on %s while it runs on %v", w.now.Sub(w.startTime), a.Task, a.Run, s.id, sortedKeys(t.runs))
+	}
+	for _, d := range step.DependsOn {
+		for i := range spec.Steps[d].Count {
+			if spec.Steps[d].Gang && i > 0 {
+				break // one member stands for all
+			}
+			before := job.TaskRef{StepRef: job.StepRef{Job: ref.Job, Occurrence: ref.Occurrence, Step: d}, Index: i}.String()
+			if !w.succeeded(before) && !(spec.Steps[d].Gang && w.anySucceeded(ref, d, spec.Steps[d].Count)) {
+				w.t.Errorf("%s started before %s was done", a.Task, before)
+			}
+		}
+	}
+	if at, canceled := w.canceledAt[ref.Job]; canceled && sent.Sub(at) > 3*time.Second {
+		w.t.Errorf("%s started %v after its cancellation", a.Task, w.now.Sub(at))
+	}
+	r := &simRun{task: a.Task, run: a.Run, startedAt: w.now, runtime: step.Estimate, need: step.Need, fails: w.rand.Float64() < w.failureRatio}
+	if step.Gang {
+		key := fmt.Sprintf("%s/%d", ref.StepRef, a.Run)
+		g := w.gangs[key]
+		if g == nil {
+			g = &simGang{members: make(map[string]*simRun), workers: make(map[string]*simWorker), count: step.Count}
+			w.gangs[key] = g
+		}
+		g.members[a.Task], g.workers[a.Task] = r, s
+		r.gang = g
+	}
+	s.runs[a.Task] = r
+	t.runs[s.id] = r
+	t.lastRun = max(t.lastRun, a.Run)
+	w.checkCapacity(s)
+	w.checkLimits(spec.Team)
+}
+
+// anySucceeded reports whether a member of a gang has succeeded, which counts for all.
+func (w *world) anySucceeded(ref job.TaskRef, step, count int) bool {
+	for i := range count {
+		if w.succeeded(job.TaskRef{StepRef: job.StepRef{Job: ref.Job, Occurrence: ref.Occurrence, Step: step}, Index: i}.String()) {
+			return true
+		}
+	}
+	return false
+}
+
+// succeeded reports whether a run of the task has succeeded.
+func (w *world) succeeded(task string) bool {
+	t := w.tasks[task]
+	return t != nil && t.succeeded
+}
+
+// checkCapacity checks that the runs of a worker fit into its capacity.
+func (w *world) checkCapacity(s *simWorker) {
+	used := job.Resources{}
+	for _, r := range s.runs {
+		used = used.Add(r.need)
+	}
+	if !used.Fits(s.capacity) {
+		w.t.Errorf("%v: %s runs %v, more than its capacity %v", w.now.Sub(w.startTime), s.id, used, s.capacity)
+	}
+}
+
+// checkLimits checks that the runs of a team are within its limit.
+func (w *world) checkLimits(team string) {
+	limit := w.policy.Team(team).Limit
+	used := job.Resources{}
+	for _, s := range w.workers {
+		for name, r := range s.runs {
+			if w.specs[strings.SplitN(name, ".", 2)[0]].Team == team {
+				used = used.Add(r.need)
+			}
+		}
+	}
+	if !used.Within(limit) {
+		w.t.Errorf("team %s runs %v, above its limit %v", team, used, limit)
+	}
+}
+
+// handleStop carries out a stop command on a worker.
+func (w *world) handleStop(s *simWorker, a *Stop) any {
+	ev := &StopAnswered{Stop: a, Life: s.incarnation}
+	if a.Life != s.incarnation {
+		ev.Refusal = OtherLife
+		return ev
+	}
+	s.endedRuns[a.Task] = max(s.endedRuns[a.Task], a.Run)
+	if r := s.runs[a.Task]; r != nil && r.run <= a.Run {
+		w.after(100*time.Millisecond, func() { r.stopped = true })
+	}
+	return ev
+}
+
+// handleRenewal carries out a renewal on a worker.
+func (w *world) handleRenewal(e *Engine, a *Look) {
+	s := w.workers[a.Worker]
+	sent := w.now
+	if s.unreachable {
+		w.deliver(e, a.Timeout, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent})
+		return
+	}
+	w.after(simTick, func() {
+		if s.incarnation != a.Life {
+			w.deliver(e, 0, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent, OtherLife: true})
+			return
+		}
+		s.fence = max(s.fence, w.term)
+		if end := time.UnixMilli(a.Deadline); a.Deadline > 0 && end.After(s.leaseEnd) && w.engine == e {
+			s.leaseEnd = end
+		}
+		w.acknowledge(s, a.Cursor)
+		answered, lost := false, false
+		answer := func() {
+			if a.Wait > 0 && w.lostRenewals > 0 {
+				w.lostRenewals--
+				lost = true
+			}
+			if lost || answered || s.unreachable || s.incarnation != a.Life {
+				return
+			}
+			answered = true
+			w.deliver(e, simTick, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent, Report: w.report(s)})
+		}
+		w.after(a.Timeout, func() {
+			if !answered && w.engine == e {
+				answered = true
+				e.Handle(w.now, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent})
+			}
+		})
+		if a.Wait == 0 || len(s.ended) > 0 {
+			answer()
+			return
+		}
+		s.pendingAnswers = append(s.pendingAnswers, answer)
+		w.after(a.Wait, answer)
+	})
+}
+
+// acknowledge removes the ends up to cursor from the worker's list and marks the tasks
+// whose success is acknowledged while the lease is valid.
+func (w *world) acknowledge(s *simWorker, cursor int64) {
+	kept := s.ended[:0]
+	for _, end := range s.ended {
+		if end.Number > cursor {
+			kept = append(kept, end)
+			continue
+		}
+		if end.How == EndedDone && end.Number > s.expiredEnds {
+			w.tasks[end.Task].acknowledged = true
+		}
+	}
+	s.ended = kept
+}
+
+// report returns a worker's report.
+func (w *world) report(s *simWorker) *Report {
+	r := &Report{Life: s.incarnation, Clock: w.now.UnixMilli(), Ended: slices.Clone(s.ended)}
+	for _, name := range sortedKeys(s.runs) {
+		u := s.runs[name]
+		percent := int(100 * float64(w.now.Sub(u.workStart())) / (float64(max(1, u.runtime)) * s.slowdown))
+		if u.gang != nil && u.gang.completeAt.IsZero() {
+			percent = 0
+		}
+		r.Running = append(r.Running, RunStatus{Task: name, Run: u.run, Percent: min(99, percent)})
+	}
+	return r
+}
+
+// answerAdvice returns the adviser's tickets by worker.
+func (w *world) answerAdvice(a *Ask) map[string]string {
+	w.workersAsked += len(a.Workers)
+	good := make(map[string]string)
+	if w.isGood != nil {
+		task, err := job.ParseTask(a.Step + ".0")
+		w.must(err)
+		for _, id := range a.Workers {
+			if w.isGood(task.StepRef, id) {
+				good[id] = "ticket"
+			}
+		}
+		return good
+	}
+	for _, id := range a.Workers {
+		h := fnv.New32a()
+		_, _ = io.WriteString(h, a.Step+id)
+		if h.Sum32()%10 < 4 || id == "w00" || id == "w01" { // at least these are good for every step
+			good[id] = "ticket"
+		}
+	}
+	return good
+}
