--- a/internal/service/ledger/dispatch.go
+++ b/internal/service/ledger/dispatch.go
@@ -8,19 +8,19 @@
 	"pollenbend/internal/wire"
 )
 
-// Reasons for a rejected dispatch.
+// Reasons for a rejected dispatch, as sent to the coordinator.
 const (
-	ReasonLimit    = "team limit"
-	ReasonRoom     = "no room"
-	ReasonStale    = "stale dispatch"
-	ReasonCanceled = "canceled"
+	ReasonTeamLimit  = "team limit"
+	ReasonNoCapacity = "no room"
+	ReasonStale      = "stale dispatch"
+	ReasonCanceled   = "canceled"
 )
 
-// OnMessage serves coordinators on other instances.
+// OnMessage serves the messages of other instances.
 func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
 	switch m := m.(type) {
 	case wire.Heartbeat:
-		s.retell(from)
+		s.reportMissed(from)
 	case wire.Dispatch:
 		if st := s.Dispatch(m); st.Phase != wire.PhaseStarting {
 			s.env.Send(from.Instance, st)
@@ -38,8 +38,8 @@
 	}
 }
 
-// Dispatch starts a task on one of the held workers and returns its state:
-// starting, rejected, or what is known of it already.
+// Dispatch starts a task on one of the held workers and returns the task's state:
+// starting, rejected, or the state of a task that is known already.
 func (s *Service) Dispatch(d wire.Dispatch) wire.TaskState {
 	st := wire.TaskState{Task: d.Task.ID, Term: d.Term, Attempt: d.Attempt, Phase: wire.PhaseRejected}
 	if s.isStale(d) {
@@ -49,17 +49,17 @@
 	if known, ok := s.lookup(d.Task.ID); ok {
 		return known
 	}
-	if !s.limits.MayStart(d.Task.Team) || s.keptForGangs(&d.Task) {
-		st.Reason = ReasonLimit
+	if !s.limits.MayStart(d.Task.Team) || s.reservedForGangs(&d.Task) {
+		st.Reason = ReasonTeamLimit
 		return st
 	}
-	id, status := s.choose(&d.Task)
+	id, status := s.chooseWorker(&d.Task)
 	started := status.Success() && s.commit(d, id)
 	if !started && d.Task.Class == model.ClassUrgent {
 		id, started = s.preempt(d)
 	}
 	if !started {
-		st.Reason = ReasonRoom
+		st.Reason = ReasonNoCapacity
 		return st
 	}
 	st.Phase = wire.PhaseStarting
@@ -67,19 +67,20 @@
 	return st
 }
 
-// isStale reports whether a later owner or a later attempt has fenced d.
+// isStale reports whether d comes from an earlier shard owner or was fenced by a
+// Locate.
 func (s *Service) isStale(d wire.Dispatch) bool {
 	shard := model.ShardOfTask(d.Task.ID)
-	if d.Term < s.seen[shard] {
+	if d.Term < s.maxTerms[shard] {
 		return true
 	}
-	s.seen[shard] = d.Term
+	s.maxTerms[shard] = d.Term
 	f, ok := s.fences[d.Task.ID]
 	return ok && (d.Term < f.term || d.Term == f.term && d.Attempt <= f.attempt)
 }
 
-// commit rechecks the placement against the worker's lease and free resources and
-// emits the start.
+// commit rechecks the placement against the worker's lease and free resources, and
+// emits the start command. It reports whether it did.
 func (s *Service) commit(d wire.Dispatch, id model.WorkerID) bool {
 	w, ok := s.workers[id]
 	if !ok || !w.leased(s.env.Now()) || w.info.Leaving || !s.freshness.fresh(s.env.Now()) {
@@ -89,22 +90,23 @@
 		return false
 	}
 	t := &task{spec: d.Task, worker: id, phase: wire.PhaseStarting, term: d.Term, attempt: d.Attempt}
-	if err := s.place.scheduler.Fleet.Assume(s.env.Now(), &t.spec, id); err != nil {
+	if err := s.placement.scheduler.Fleet.Assume(s.env.Now(), &t.spec, id); err != nil {
 		return false
 	}
-	w.seq++
-	t.seq, t.incarnation = w.seq, w.incarnation
+	w.lastSeq++
+	t.seq, t.incarnation = w.lastSeq, w.incarnation
 	s.tasks[d.Task.ID] = t
-	s.noteRun(d.Task.ID)
-	s.count(w, d.Task, 1)
+	s.recordRun(d.Task.ID)
+	s.addUsage(w, d.Task, 1)
 	s.env.Emit(event.Start{Worker: w.info, Request: platform.StartRequest{
-		Lease: s.leaseRef(w), WorkerIncarnation: w.incarnation, Seq: w.seq, Task: d.Task,
+		Lease: s.leaseRef(w), WorkerIncarnation: w.incarnation, Seq: w.lastSeq, Task: d.Task,
 	}})
 	return true
 }
 
-// OnStartDone settles a start. When it is open whether the worker got it, the
-// task keeps its place until a full report tells.
+// OnStartDone applies the result of a start command. If it is unknown whether the
+// worker received the command, the task keeps its resources until a full report
+// decides.
 func (s *Service) OnStartDone(d event.StartDone) {
 	w, ok := s.workers[d.Worker]
 	if !ok || d.Lease != s.leaseRef(w) {
@@ -117,36 +119,37 @@
 	switch d.Verdict {
 	case verdict.Done:
 		t.phase = wire.PhaseRunning
-		s.tell(s.stateOf(t))
+		s.reportState(s.stateOf(t))
 	case verdict.NotRun:
 		s.reject(t, d.Reason)
 	default:
-		w.needFull = true
+		w.needFullReport = true
 	}
 }
 
-// lookup returns the state of a task that runs or ran on a held worker.
+// lookup returns the state of a task that runs, waits to start or ran on a held
+// worker. Finished tasks are known for the retention.
 func (s *Service) lookup(id model.TaskID) (wire.TaskState, bool) {
 	if t, ok := s.tasks[id]; ok {
 		return s.stateOf(t), true
 	}
-	if p, ok := s.place.pending[id]; ok {
+	if p, ok := s.placement.pending[id]; ok {
 		return wire.TaskState{
 			Task: id, Term: p.dispatch.Term, Attempt: p.dispatch.Attempt,
 			Phase: wire.PhaseStarting, Worker: p.worker,
 		}, true
 	}
-	if p, ok := s.past[id]; ok {
+	if p, ok := s.finished[id]; ok {
 		return wire.TaskState{Task: id, Phase: wire.PhaseFinished, Worker: p.worker, Outcome: p.outcome}, true
 	}
 	return wire.TaskState{}, false
 }
 
-// lookupLatest returns the state of the latest run of a task, not earlier than
-// the given one.
+// lookupLatest returns the state of the latest known run of a task, but not of a run
+// earlier than id's.
 func (s *Service) lookupLatest(id model.TaskID) (wire.TaskState, bool) {
 	base := model.BaseTask(id)
-	if run := s.latest[base]; run > model.RunOf(id) {
+	if run := s.maxRuns[base]; run > model.RunOf(id) {
 		if st, ok := s.lookup(model.WithRun(base, run)); ok {
 			return st, true
 		}
@@ -154,42 +157,42 @@
 	return s.lookup(id)
 }
 
-// noteRun remembers the highest run of a task seen here.
-func (s *Service) noteRun(id model.TaskID) {
+// recordRun keeps the highest run number seen of a task.
+func (s *Service) recordRun(id model.TaskID) {
 	base := model.BaseTask(id)
-	s.latest[base] = max(s.latest[base], model.RunOf(id))
+	s.maxRuns[base] = max(s.maxRuns[base], model.RunOf(id))
 }
 
-// Locate answers what is known of tasks, and fences them: a dispatch at or below
-// the asked term and attempt that arrives later is refused. Without that, "never
-// seen" could turn false after it was said.
+// Locate returns what is known of tasks and fences them: a later dispatch with at
+// most the given term and attempt is refused. Without the fence, a dispatch still in
+// transit could start a task after it was reported as never seen.
 func (s *Service) Locate(m wire.Locate) wire.Located {
-	s.seen[m.Shard] = max(s.seen[m.Shard], m.Term)
+	s.maxTerms[m.Shard] = max(s.maxTerms[m.Shard], m.Term)
 	out := wire.Located{ID: m.ID}
 	oldest := s.env.Now()
 	for _, q := range m.Tasks {
 		oldest = min(oldest, s.env.Now()-q.Age)
-		s.fences[q.Task] = fence{term: m.Term, attempt: q.Attempt, at: s.env.Now()}
+		s.fences[q.Task] = fence{term: m.Term, attempt: q.Attempt, fencedAt: s.env.Now()}
 		if st, ok := s.lookupLatest(q.Task); ok {
 			out.Seen = append(out.Seen, st)
 		}
 	}
-	for _, id := range s.order {
+	for _, id := range s.workerIDs {
 		w := s.workers[id]
 		if !w.leased(s.env.Now()) {
 			continue
 		}
 		out.Covered = append(out.Covered, id)
-		if w.bornAt > oldest {
+		if w.startedAt > oldest {
 			out.Young = append(out.Young, id)
 		}
 	}
 	return out
 }
 
-// Cancel stops a task if it is here.
+// Cancel stops a task if it runs or waits to start on a held worker.
 func (s *Service) Cancel(c wire.CancelTask) {
-	if p, ok := s.place.pending[c.Task]; ok {
+	if p, ok := s.placement.pending[c.Task]; ok {
 		s.dropPending(p, ReasonCanceled)
 		return
 	}
@@ -203,17 +206,17 @@
 	}})
 }
 
-// FillBeat adds what is free here.
+// FillBeat adds the free resources and the version of the coverage to a heartbeat.
 func (s *Service) FillBeat(b *wire.Heartbeat) {
 	b.Free = s.Free()
 	b.Coverage = s.Coverage().Version
 }
 
-// refreshCoverage gives the set of covered workers a new version when it has
-// changed. Peers see the version in heartbeats and fetch the set.
+// refreshCoverage assigns a new version to the set of covered workers when the set
+// has changed. Peers see the version in heartbeats and fetch the set.
 func (s *Service) refreshCoverage() {
 	var covered []model.WorkerID
-	for _, id := range s.order {
+	for _, id := range s.workerIDs {
 		if s.workers[id].leased(s.env.Now()) {
 			covered = append(covered, id)
 		}
@@ -235,8 +238,8 @@
 	return true
 }
 
-// Coverage returns the workers whose state is known here at this moment. What is
-// told of running tasks in the same heartbeat never lacks a worker that it lists.
+// Coverage returns the workers whose state is known here at this moment. The usage
+// reported in the same heartbeat includes every worker that the coverage lists.
 func (s *Service) Coverage() wire.Coverage {
 	s.refreshCoverage()
 	return s.coverage
--- a/internal/service/ledger/freshness.go
+++ b/internal/service/ledger/freshness.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// freshness notices pauses of this process. After one, the listed workers may
-// long be leaving, so nothing starts until the list was read anew.
+// freshness detects pauses of this process. After a pause, listed workers may have
+// been leaving for a long time, so nothing is started until the worker list has been
+// read again.
 type freshness struct {
-	tickAt   time.Duration
-	wokeAt   time.Duration
-	listings int // since wokeAt
+	observedAt time.Duration
+	resumedAt  time.Duration
+	listings   int // listings received since resumedAt
 }
 
 const (
-	// pauseGap is a time between ticks that only a pause explains. Together with
-	// the time between two reads of the list it stays below the few seconds in
-	// which a leaving worker may still get work.
-	pauseGap = 2 * time.Second
-	// newListings is how many listings are read after a pause: the first may
-	// have been asked for before it.
-	newListings = 2
-	// listingWait bounds the wait for them, for a list that is out.
-	listingWait = 6 * time.Second
+	// minPause is the gap between ticks above which the process counts as having
+	// been paused. Together with the time between two reads of the list it stays
+	// below the few seconds during which a leaving worker may still be given work.
+	minPause = 2 * time.Second
+	// minListings is the number of listings required after a pause: the first may
+	// have been requested before the pause.
+	minListings = 2
+	// listingTimeout bounds the wait for them while the list is unavailable.
+	listingTimeout = 6 * time.Second
 )
 
-func newFreshness() freshness { return freshness{listings: newListings} }
+func newFreshness() freshness { return freshness{listings: minListings} }
 
-// note is called with the time before anything that counts on the list.
-func (f *freshness) note(now time.Duration) {
-	if now-f.tickAt > pauseGap {
-		f.wokeAt = now
+// observe records the current time and detects a pause. It is called before anything
+// that relies on the worker list.
+func (f *freshness) observe(now time.Duration) {
+	if now-f.observedAt > minPause {
+		f.resumedAt = now
 		f.listings = 0
 	}
-	f.tickAt = now
+	f.observedAt = now
 }
 
-// fresh reports whether the list is recent enough to start work by it.
+// fresh reports whether the worker list is recent enough to start tasks.
 func (f *freshness) fresh(now time.Duration) bool {
-	f.note(now)
-	return f.listings >= newListings || now-f.wokeAt >= listingWait
+	f.observe(now)
+	return f.listings >= minListings || now-f.resumedAt >= listingTimeout
 }
--- a/internal/service/ledger/gang.go
+++ b/internal/service/ledger/gang.go
@@ -5,81 +5,83 @@
 	"pollenbend/internal/wire"
 )
 
-// HoldTasks keeps room for the tasks of a gang that have a place here, within what
-// the team may still start, until they are dispatched or the holds expire.
+// HoldTasks reserves resources for those tasks of a gang that fit on a held worker,
+// up to the number that the team may still start here. A hold lasts until the task is
+// dispatched or the hold expires.
 func (s *Service) HoldTasks(m wire.HoldTasks) wire.Held {
 	out := wire.Held{ID: m.ID}
 	if len(m.Tasks) == 0 || !s.freshness.fresh(s.env.Now()) {
 		return out
 	}
 	team := m.Tasks[0].Team
-	others := s.heldFor(team)
+	others := s.gangHoldCount(team)
 	for i := range m.Tasks {
 		t := &m.Tasks[i]
-		if _, own := s.place.gangHolds[t.ID]; own && s.isHeld(t.ID) {
+		if _, own := s.placement.gangHolds[t.ID]; own && s.isHeld(t.ID) {
 			others--
 		}
-		if s.hold(t, m) {
+		if s.holdTask(t, m) {
 			out.Tasks = append(out.Tasks, t.ID)
 		}
 	}
-	room := s.limits.Room(team, others+int64(len(out.Tasks))) - others
-	for int64(len(out.Tasks)) > max(room, 0) {
+	allowed := s.limits.Room(team, others+int64(len(out.Tasks))) - others
+	for int64(len(out.Tasks)) > max(allowed, 0) {
 		last := len(out.Tasks) - 1
-		s.unhold(out.Tasks[last])
+		s.releaseHold(out.Tasks[last])
 		out.Tasks = out.Tasks[:last]
 		out.Limited = true
 	}
 	return out
 }
 
-func (s *Service) hold(t *model.Task, m wire.HoldTasks) bool {
+func (s *Service) holdTask(t *model.Task, m wire.HoldTasks) bool {
 	shard := model.ShardOfTask(t.ID)
-	if _, known := s.lookup(t.ID); known || m.Term < s.seen[shard] {
+	if _, known := s.lookup(t.ID); known || m.Term < s.maxTerms[shard] {
 		return false
 	}
-	s.seen[shard] = m.Term
-	id, status := s.choose(t)
+	s.maxTerms[shard] = m.Term
+	id, status := s.chooseWorker(t)
 	if !status.Success() {
-		s.unhold(t.ID)
+		s.releaseHold(t.ID)
 		return false
 	}
 	if w, ok := s.workers[id]; !ok || !w.leased(s.env.Now()) {
 		return false
 	}
-	if s.place.scheduler.Fleet.Hold(t, id, s.env.Now()+m.Expires) != nil {
+	if s.placement.scheduler.Fleet.Hold(t, id, s.env.Now()+m.Expires) != nil {
 		return false
 	}
-	s.place.gangHolds[t.ID] = t.Team
+	s.placement.gangHolds[t.ID] = t.Team
 	return true
 }
 
-// ReleaseHolds gives up the room kept for tasks.
+// ReleaseHolds frees the resources reserved for tasks.
 func (s *Service) ReleaseHolds(m wire.ReleaseHolds) {
 	for _, id := range m.Tasks {
-		s.unhold(id)
+		s.releaseHold(id)
 	}
 }
 
-func (s *Service) unhold(id model.TaskID) {
-	if _, ok := s.place.gangHolds[id]; ok {
-		delete(s.place.gangHolds, id)
-		s.place.scheduler.Fleet.Unhold(id)
+func (s *Service) releaseHold(id model.TaskID) {
+	if _, ok := s.placement.gangHolds[id]; ok {
+		delete(s.placement.gangHolds, id)
+		s.placement.scheduler.Fleet.Unhold(id)
 	}
 }
 
 func (s *Service) isHeld(id model.TaskID) bool {
-	_, ok := s.place.scheduler.Fleet.HoldOf(id)
+	_, ok := s.placement.scheduler.Fleet.HoldOf(id)
 	return ok
 }
 
-// heldFor counts the tasks of a team's gangs for which room is kept here.
-func (s *Service) heldFor(team model.TeamID) int64 {
+// gangHoldCount returns the number of tasks of a team's gangs for which resources are
+// reserved here, and removes the records of expired holds.
+func (s *Service) gangHoldCount(team model.TeamID) int64 {
 	var n int64
-	for id, t := range s.place.gangHolds {
+	for id, t := range s.placement.gangHolds {
 		switch {
 		case !s.isHeld(id):
-			delete(s.place.gangHolds, id)
+			delete(s.placement.gangHolds, id)
 		case t == team:
 			n++
 		}
@@ -87,15 +89,15 @@
 	return n
 }
 
-// keptForGangs reports whether all that the team may still start here is kept for
-// its gangs, and the task is not of these.
-func (s *Service) keptForGangs(t *model.Task) bool {
-	if len(s.place.gangHolds) == 0 {
+// reservedForGangs reports whether every start that the team's limit still allows
+// here is reserved for its gangs, and t has no such reservation.
+func (s *Service) reservedForGangs(t *model.Task) bool {
+	if len(s.placement.gangHolds) == 0 {
 		return false
 	}
-	if _, own := s.place.gangHolds[t.ID]; own && s.isHeld(t.ID) {
+	if _, own := s.placement.gangHolds[t.ID]; own && s.isHeld(t.ID) {
 		return false
 	}
-	held := s.heldFor(t.Team)
+	held := s.gangHoldCount(t.Team)
 	return held > 0 && s.limits.Room(t.Team, held+1) <= held
 }
--- a/internal/service/ledger/placement.go
+++ b/internal/service/ledger/placement.go
@@ -14,52 +14,54 @@
 	"pollenbend/internal/wire"
 )
 
-// placement chooses workers among those held here.
+// placement chooses workers for tasks among the workers held here.
 type placement struct {
-	scheduler *scheduler.Scheduler
-	keeper    *quarantine.Keeper
-	preempter *preempt.Planner
-	pending   map[model.TaskID]*pendingStart
-	gangHolds map[model.TaskID]model.TeamID // tasks of gangs for which room is kept
+	scheduler  *scheduler.Scheduler
+	quarantine *quarantine.Keeper
+	preempter  *preempt.Planner
+	pending    map[model.TaskID]*pendingStart
+	gangHolds  map[model.TaskID]model.TeamID // gang tasks with reserved resources
 }
 
-// pendingStart is an urgent task whose room is being made by stopping other work.
+// pendingStart is an urgent task that waits for preempted tasks to stop.
 type pendingStart struct {
 	dispatch wire.Dispatch
 	worker   model.WorkerID
 	expires  time.Duration
 }
 
-// preemptWait is how long a task waits for the work that it displaces to stop.
-const preemptWait = 1500 * time.Millisecond
+// preemptTimeout is how long an urgent task waits for the tasks that it preempts to
+// stop.
+const preemptTimeout = 1500 * time.Millisecond
 
 func newPlacement(seed uint64, home model.Location) placement {
 	s := scheduler.New(scheduler.Config{Seed: seed, Home: home})
 	return placement{
-		scheduler: s,
-		keeper:    quarantine.New(s.Fleet),
-		preempter: preempt.New(seed),
-		pending:   make(map[model.TaskID]*pendingStart),
-		gangHolds: make(map[model.TaskID]model.TeamID),
+		scheduler:  s,
+		quarantine: quarantine.New(s.Fleet),
+		preempter:  preempt.New(seed),
+		pending:    make(map[model.TaskID]*pendingStart),
+		gangHolds:  make(map[model.TaskID]model.TeamID),
 	}
 }
 
-func (p *placement) setLease(id model.WorkerID, held bool) {
-	// A worker that is not in the fleet takes no work anyway.
+func (p *placement) setLeased(id model.WorkerID, held bool) {
+	// SetUnschedulable fails only for a worker that is not in the fleet, which
+	// receives no tasks anyway.
 	_ = p.scheduler.Fleet.SetUnschedulable(id, fleet.ReasonNoLease, !held)
 }
 
-// preempt makes room for an urgent task by stopping less important work. The task
-// counts as starting from here on; it starts when the room is there.
+// preempt stops less important tasks to free resources for an urgent one. The urgent
+// task counts as starting from now on; its start is sent once the resources are free.
 func (s *Service) preempt(d wire.Dispatch) (model.WorkerID, bool) {
 	now := s.env.Now()
 	t := &d.Task
-	plan, status := s.place.preempter.Plan(now, s.place.scheduler.Fleet, t, preempt.ForUrgent)
+	plan, status := s.placement.preempter.Plan(now, s.placement.scheduler.Fleet, t, preempt.ForUrgent)
 	if !status.Success() {
 		return "", false
 	}
-	expires := now + preemptWait
-	if err := s.place.preempter.Apply(now, s.place.scheduler.Fleet, t, plan, expires); err != nil {
+	expires := now + preemptTimeout
+	if err := s.placement.preempter.Apply(now, s.placement.scheduler.Fleet, t, plan, expires); err != nil {
 		return "", false
 	}
 	w := s.workers[plan.Worker]
@@ -68,51 +70,52 @@
 			Lease: s.leaseRef(w), Task: v.Task, Mode: platform.StopCheckpoint,
 		}})
 	}
-	s.place.pending[t.ID] = &pendingStart{dispatch: d, worker: plan.Worker, expires: expires}
+	s.placement.pending[t.ID] = &pendingStart{dispatch: d, worker: plan.Worker, expires: expires}
 	return plan.Worker, true
 }
 
-// startPending starts the tasks whose room has come free and gives up those whose
-// wait is over.
+// startPending starts pending tasks whose resources have become free and rejects
+// those that have timed out.
 func (s *Service) startPending() {
-	if len(s.place.pending) == 0 {
+	if len(s.placement.pending) == 0 {
 		return
 	}
-	for _, id := range sortedKeys(s.place.pending) {
-		p := s.place.pending[id]
+	for _, id := range sortedKeys(s.placement.pending) {
+		p := s.placement.pending[id]
 		switch {
 		case s.limits.MayStart(p.dispatch.Task.Team) && s.commit(p.dispatch, p.worker):
-			delete(s.place.pending, id)
+			delete(s.placement.pending, id)
 		case s.env.Now() >= p.expires:
-			s.dropPending(p, ReasonRoom)
+			s.dropPending(p, ReasonNoCapacity)
 		}
 	}
 }
 
-// dropPending gives a pending start up. It never reached a worker.
+// dropPending rejects a pending start, which was never sent to a worker.
 func (s *Service) dropPending(p *pendingStart, reason string) {
 	id := p.dispatch.Task.ID
-	delete(s.place.pending, id)
-	s.place.scheduler.Fleet.Unhold(id)
-	s.tell(wire.TaskState{
+	delete(s.placement.pending, id)
+	s.placement.scheduler.Fleet.Unhold(id)
+	s.reportState(wire.TaskState{
 		Task: id, Term: p.dispatch.Term, Attempt: p.dispatch.Attempt,
 		Phase: wire.PhaseRejected, Reason: reason,
 	})
 }
 
-// observe lets the quarantine learn from an outcome.
-func (s *Service) observe(t *task, out model.Outcome) {
+// observeOutcome reports a task's outcome to the quarantine, unless the task was
+// stopped.
+func (s *Service) observeOutcome(t *task, out model.Outcome) {
 	if !out.Stopped {
-		s.place.keeper.Observe(s.env.Now(), t.worker, &t.spec, out.Failed)
+		s.placement.quarantine.Observe(s.env.Now(), t.worker, &t.spec, out.Failed)
 	}
 }
 
-// Explain tells why a task would not be placed on the workers held here.
+// Explain returns why a task cannot be placed on the workers held here.
 func (s *Service) Explain(t *model.Task) scheduler.Explanation {
-	return s.place.scheduler.Explain(s.env.Now(), t)
+	return s.placement.scheduler.Explain(s.env.Now(), t)
 }
 
-func (s *Service) choose(t *model.Task) (model.WorkerID, plugin.Status) {
-	d, status := s.place.scheduler.Place(s.env.Now(), t)
+func (s *Service) chooseWorker(t *model.Task) (model.WorkerID, plugin.Status) {
+	d, status := s.placement.scheduler.Place(s.env.Now(), t)
 	return d.Worker, status
 }
--- a/internal/service/requests/backoff.go
+++ b/internal/service/requests/backoff.go
@@ -6,10 +6,10 @@
 	"pollenbend/internal/model"
 )
 
-// backoff is an ended task that waits before it runs again.
+// backoff is a delayed rerun of an ended task.
 type backoff struct {
-	entry *entry
-	until time.Duration
+	entry    *entry
+	resumeAt time.Duration
 }
 
 const (
@@ -17,24 +17,25 @@
 	maxBackoff = 30 * time.Second
 )
 
-// backOff lets a task run again after a pause that doubles with every run, so
-// that one that fails at once takes little from others.
+// backOff schedules another run of a task after a delay that doubles with every run,
+// with jitter, so that a task that fails immediately uses few resources.
 func (s *Service) backOff(e *entry) {
 	s.setPhase(e, phaseBackoff)
-	pause := maxBackoff
+	delay := maxBackoff
 	if shift := e.run - 2; shift < 10 {
-		pause = min(minBackoff<<max(shift, 0), maxBackoff)
+		delay = min(minBackoff<<max(shift, 0), maxBackoff)
 	}
-	jitter := time.Duration(s.env.Rand().Int64N(int64(pause)/2 + 1))
-	s.backoffs = append(s.backoffs, backoff{entry: e, until: s.env.Now() + pause/2 + jitter})
+	jitter := time.Duration(s.env.Rand().Int64N(int64(delay)/2 + 1))
+	s.backoffs = append(s.backoffs, backoff{entry: e, resumeAt: s.env.Now() + delay/2 + jitter})
 }
 
-func (s *Service) endBackoffs(now time.Duration) {
+// resumeAfterBackoff queues the tasks whose delay has passed.
+func (s *Service) resumeAfterBackoff(now time.Duration) {
 	kept := s.backoffs[:0]
 	for _, b := range s.backoffs {
 		switch {
 		case b.entry.phase != phaseBackoff:
-		case now >= b.until:
+		case now >= b.resumeAt:
 			s.enqueue(b.entry)
 		default:
 			kept = append(kept, b)
@@ -43,5 +44,5 @@
 	s.backoffs = kept
 }
 
-// taskOf returns the id under which the entry's present run is started.
-func (e *entry) taskOf() model.TaskID { return model.WithRun(e.base, e.run) }
+// runID returns the task id of the entry's current run.
+func (e *entry) runID() model.TaskID { return model.WithRun(e.base, e.run) }
--- a/internal/service/requests/dispatch.go
+++ b/internal/service/requests/dispatch.go
@@ -11,15 +11,15 @@
 	"pollenbend/internal/wire"
 )
 
-// OnStepEnd dispatches waiting tasks while there is room.
+// OnStepEnd dispatches waiting tasks while resources are free.
 func (s *Service) OnStepEnd() {
-	if !s.moved {
+	if !s.dispatchDue {
 		return
 	}
-	s.moved = false
-	s.refreshRooms()
-	s.stepGangs()
-	s.queue.Wake(s.largestRoom())
+	s.dispatchDue = false
+	s.refreshFreeEstimates()
+	s.advanceGangs()
+	s.queue.Wake(s.largestFree())
 	for {
 		t := s.queue.Pop()
 		if t == nil {
@@ -31,20 +31,21 @@
 	}
 }
 
-// largestRoom returns the most that is believed free at any one instance.
-func (s *Service) largestRoom() model.Resources {
-	room := s.ledger.Free()
-	for _, r := range s.rooms {
-		room.MilliCPU = max(room.MilliCPU, r.free.MilliCPU)
-		room.MemoryMiB = max(room.MemoryMiB, r.free.MemoryMiB)
-		room.Slots = max(room.Slots, r.free.Slots)
-		room.Accelerators = max(room.Accelerators, r.free.Accelerators)
-	}
-	return room
+// largestFree returns, for each kind of resource, the maximum that is estimated free
+// at any one instance.
+func (s *Service) largestFree() model.Resources {
+	largest := s.ledger.Free()
+	for _, e := range s.freeEstimates {
+		largest.MilliCPU = max(largest.MilliCPU, e.free.MilliCPU)
+		largest.MemoryMiB = max(largest.MemoryMiB, e.free.MemoryMiB)
+		largest.Slots = max(largest.Slots, e.free.Slots)
+		largest.Accelerators = max(largest.Accelerators, e.free.Accelerators)
+	}
+	return largest
 }
 
-// refreshShares tells the queue what each team may weigh and what it holds in the
-// whole fleet, as far as heartbeats have told.
+// refreshShares updates the queue with the fleet's capacity, each team's share and
+// each team's usage at other instances as reported by heartbeats.
 func (s *Service) refreshShares() {
 	var capacity model.Resources
 	for _, w := range s.ledger.Roster() {
@@ -53,122 +54,128 @@
 	s.queue.SetCapacity(capacity)
 	for _, t := range s.config.Teams() {
 		s.queue.SetShare(t.Name, t.Share)
-		s.queue.SetUsage(t.Name, s.elsewhere(t.Name))
+		s.queue.SetUsage(t.Name, s.usageElsewhere(t.Name))
 	}
 	s.queue.Rebalance()
 }
 
-// elsewhere returns what a team holds beyond what was dispatched from here.
-func (s *Service) elsewhere(team model.TeamID) model.Resources {
-	held := s.ledger.Usage(team)
+// usageElsewhere returns a team's usage in the fleet minus the tasks dispatched from
+// here.
+func (s *Service) usageElsewhere(team model.TeamID) model.Resources {
+	usage := s.ledger.Usage(team)
 	for _, o := range s.members.Live() {
 		m, ok := s.members.Member(o.Instance)
 		if !ok {
 			continue
 		}
-		for _, l := range m.Beat.Teams {
-			if l.Team == team {
-				held = held.Add(l.Usage)
+		for _, load := range m.Beat.Teams {
+			if load.Team == team {
+				usage = usage.Add(load.Usage)
 			}
 		}
 	}
-	rest := held.Sub(s.queue.Book.Account(team).Local())
+	remaining := usage.Sub(s.queue.Book.Account(team).Local())
 	return model.Resources{
-		MilliCPU: max(rest.MilliCPU, 0), MemoryMiB: max(rest.MemoryMiB, 0),
-		Slots: max(rest.Slots, 0), Accelerators: max(rest.Accelerators, 0),
+		MilliCPU: max(remaining.MilliCPU, 0), MemoryMiB: max(remaining.MemoryMiB, 0),
+		Slots: max(remaining.Slots, 0), Accelerators: max(remaining.Accelerators, 0),
 	}
 }
 
-// refreshRooms takes over what newer heartbeats say is free.
-func (s *Service) refreshRooms() {
+// refreshFreeEstimates replaces the estimates of instances that sent a newer heartbeat.
+func (s *Service) refreshFreeEstimates() {
 	for _, o := range s.members.Live() {
 		m, ok := s.members.Member(o.Instance)
 		if !ok {
 			continue
 		}
-		r, known := s.rooms[o.Instance]
+		e, known := s.freeEstimates[o.Instance]
 		if !known {
-			r = &room{}
-			s.rooms[o.Instance] = r
+			e = &freeEstimate{}
+			s.freeEstimates[o.Instance] = e
 		}
-		if m.Beat.Seq > r.seq {
-			r.seq, r.free = m.Beat.Seq, m.Beat.Free
+		if m.Beat.Seq > e.seq {
+			e.seq, e.free = m.Beat.Seq, m.Beat.Free
 		}
 	}
 }
 
-// dispatch hands a task to this instance's ledger, or to the one with the most
-// room. It reports whether the task left the queue.
+// dispatch sends a task to this instance's ledger or, if the task cannot start here, to
+// the other instance with the most free task slots. It reports whether the task was
+// dispatched.
 func (s *Service) dispatch(e *entry) bool {
 	term, ok := s.ownership.Mine(e.shard)
 	if !ok || s.handover.Frozen(e.shard) {
 		return false
 	}
 	d := wire.Dispatch{Task: e.task, Term: term, Attempt: e.attempt + 1}
-	d.Task.ID = e.taskOf()
-	if s.mayTryHere(e) {
+	d.Task.ID = e.runID()
+	if s.mayDispatchHere(e) {
 		st := s.ledger.Dispatch(d)
 		if st.Phase != wire.PhaseRejected {
-			s.leave(e, s.env.Owner(), d.Attempt)
+			s.markDispatched(e, s.env.Owner(), d.Attempt)
 			s.OnTaskState(s.env.Owner(), st)
 			return true
 		}
-		s.noteRefusal(s.env.Self.ID, e.task.Team, st.Reason)
+		s.recordRefusal(s.env.Self.ID, e.task.Team, st.Reason)
 	}
-	to, ok := s.roomiest(e)
+	to, ok := s.peerWithMostFree(e)
 	if !ok {
 		return false
 	}
-	s.leave(e, to, d.Attempt)
+	s.markDispatched(e, to, d.Attempt)
 	s.env.Send(to.Instance, d)
 	return true
 }
 
-func (s *Service) leave(e *entry, to wire.Owner, attempt uint32) {
+// markDispatched records a dispatch and subtracts its demand from the estimate of the
+// holder's free resources.
+func (s *Service) markDispatched(e *entry, to wire.Owner, attempt uint32) {
 	s.setPhase(e, phaseDispatched)
 	e.holder = to
 	e.attempt = attempt
 	e.dispatchedAt = s.env.Now()
-	if r, ok := s.rooms[to.Instance]; ok {
+	if r, ok := s.freeEstimates[to.Instance]; ok {
 		r.free = r.free.Sub(e.task.Demand)
 	}
 }
 
-// refusal names a holder that refused work of a team for its upper limit.
-type refusal struct {
+// refusalKey identifies a holder that refused a team's task because of the team's
+// upper limit.
+type refusalKey struct {
 	holder model.InstanceID
 	team   model.TeamID
 }
 
-// refusalPause is how long a holder is not asked again after such a refusal.
-const refusalPause = 50 * time.Millisecond
+// refusalBackoff is how long a holder is not asked again after such a refusal.
+const refusalBackoff = 50 * time.Millisecond
 
-func (s *Service) noteRefusal(holder model.InstanceID, team model.TeamID, reason string) {
-	if reason == ledger.ReasonLimit {
-		s.refusals[refusal{holder, team}] = s.env.Now() + refusalPause
+func (s *Service) recordRefusal(holder model.InstanceID, team model.TeamID, reason string) {
+	if reason == ledger.ReasonTeamLimit {
+		s.refusedUntil[refusalKey{holder, team}] = s.env.Now() + refusalBackoff
 	}
 }
 
-func (s *Service) refused(holder model.InstanceID, team model.TeamID) bool {
-	return s.env.Now() < s.refusals[refusal{holder, team}]
+func (s *Service) recentlyRefused(holder model.InstanceID, team model.TeamID) bool {
+	return s.env.Now() < s.refusedUntil[refusalKey{holder, team}]
 }
 
-// mayTryHere reports whether this instance's own workers may take the task: there
-// is room, or the task is urgent and may make room.
-func (s *Service) mayTryHere(e *entry) bool {
-	if s.refused(s.env.Self.ID, e.task.Team) {
+// mayDispatchHere reports whether the task may be dispatched to this instance's own
+// workers: enough resources are free, or the task is urgent and may preempt others.
+func (s *Service) mayDispatchHere(e *entry) bool {
+	if s.recentlyRefused(s.env.Self.ID, e.task.Team) {
 		return false
 	}
 	return e.task.Class == model.ClassUrgent || e.task.Demand.Fits(s.ledger.Free())
 }
 
-// roomiest returns the other instance with the most room for the task.
-func (s *Service) roomiest(e *entry) (wire.Owner, bool) {
+// peerWithMostFree returns the other instance with the most free task slots among
+// those that the task is estimated to fit on.
+func (s *Service) peerWithMostFree(e *entry) (wire.Owner, bool) {
 	var best wire.Owner
 	var free int64
 	for _, o := range s.members.Live() {
-		r, ok := s.rooms[o.Instance]
-		if !ok || o == s.env.Owner() || !e.task.Demand.Fits(r.free) || s.refused(o.Instance, e.task.Team) {
+		r, ok := s.freeEstimates[o.Instance]
+		if !ok || o == s.env.Owner() || !e.task.Demand.Fits(r.free) || s.recentlyRefused(o.Instance, e.task.Team) {
 			continue
 		}
 		if best.Instance == "" || r.free.Slots > free {
@@ -178,7 +185,8 @@
 	return best, best.Instance != ""
 }
 
-// OnMessage takes task states and answers to locates from other instances.
+// OnMessage handles task states and replies to hold and locate messages from other
+// instances.
 func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
 	switch m := m.(type) {
 	case wire.TaskState:
@@ -190,7 +198,7 @@
 	}
 }
 
-// OnTaskState takes what a worker holder says of a task.
+// OnTaskState applies a task's state as reported by the lease holder of its worker.
 func (s *Service) OnTaskState(from wire.Owner, st wire.TaskState) {
 	base := model.BaseTask(st.Task)
 	e, ok := s.entries[base]
@@ -209,10 +217,11 @@
 	case wire.PhaseFinished:
 		s.onOutcome(e, st)
 	}
-	s.moved = true
+	s.dispatchDue = true
 }
 
-// adopt remembers a task that was started under an earlier owner of its shard.
+// adopt adds an entry for a task that was started under an earlier owner of its
+// shard. It returns nil for a rejected dispatch and for a shard that is not owned here.
 func (s *Service) adopt(base model.TaskID, st wire.TaskState) *entry {
 	team, id, _, err := model.RequestOfTask(base)
 	if err != nil || st.Phase == wire.PhaseRejected {
@@ -224,7 +233,7 @@
 	}
 	e := &entry{
 		id: id, base: base, shard: shard, run: 1, phase: phaseLocating,
-		task: model.Task{ID: base, Team: team}, receivedAt: s.env.Now(), born: s.env.Now(),
+		task: model.Task{ID: base, Team: team}, receivedAt: s.env.Now(), firstReceivedAt: s.env.Now(),
 	}
 	s.entries[base] = e
 	return e
@@ -234,22 +243,22 @@
 	if e.phase != phaseDispatched || e.holder != from || e.attempt != st.Attempt {
 		return
 	}
-	if r, ok := s.rooms[from.Instance]; ok && st.Reason == ledger.ReasonRoom {
+	if r, ok := s.freeEstimates[from.Instance]; ok && st.Reason == ledger.ReasonNoCapacity {
 		r.free = model.Resources{}
 	}
 	if e.canceled {
-		s.finish(e, s.unstarted(e, verdict.CodeCanceled, "canceled before it was started"))
+		s.finish(e, s.notStarted(e, verdict.CodeCanceled, "canceled before it was started"))
 		return
 	}
-	s.noteRefusal(from.Instance, e.task.Team, st.Reason)
+	s.recordRefusal(from.Instance, e.task.Team, st.Reason)
 	if e.gang != nil {
-		e.gang.until = max(e.gang.until, s.env.Now()+minGangPause)
+		e.gang.notBefore = max(e.gang.notBefore, s.env.Now()+minGangBackoff)
 		s.setPhase(e, phaseGang)
 		return
 	}
 	e.holder = wire.Owner{}
 	s.setPhase(e, phaseWaiting)
-	s.queue.Return(&e.task, e.place)
+	s.queue.Return(&e.task, e.queueRank)
 }
 
 func (s *Service) onRunning(e *entry, from wire.Owner, st wire.TaskState) {
@@ -270,8 +279,8 @@
 	}
 }
 
-// onOutcome turns a task's outcome into the request's answer, or runs the task
-// again when it failed and may be repeated.
+// onOutcome runs an ended task again if that is allowed, or turns its outcome into
+// the request's answer.
 func (s *Service) onOutcome(e *entry, st wire.TaskState) {
 	out := st.Outcome
 	e.worker = st.Worker
@@ -279,7 +288,7 @@
 		s.onGangOutcome(e, out)
 		return
 	}
-	if s.runsAgain(e, out) {
+	if s.shouldRunAgain(e, out) {
 		e.run++
 		e.attempt = 0
 		e.holder = wire.Owner{}
@@ -289,10 +298,12 @@
 	s.finish(e, s.answerOf(e, out))
 }
 
-// runsAgain reports whether a task that ended is to be run once more: a service
-// always, other work if it may be repeated and was stopped, or failed and has
-// tries left.
-func (s *Service) runsAgain(e *entry, out model.Outcome) bool {
+// shouldRunAgain reports whether an ended task is to be run again. A service task
+// always is, unless canceled. Any other task must be repeatable and must have been
+// stopped, failed or ended incompletely. A job's task that was stopped always runs
+// again; otherwise a task runs at most maxRuns times, and a request's task not after
+// its deadline.
+func (s *Service) shouldRunAgain(e *entry, out model.Outcome) bool {
 	switch {
 	case e.canceled:
 		return false
@@ -324,17 +335,17 @@
 	return a
 }
 
-// OnMemberDead puts what was dispatched to a dead instance in doubt.
+// OnMemberDead starts to locate the tasks that were dispatched to a dead instance.
 func (s *Service) OnMemberDead(o wire.Owner) {
-	delete(s.rooms, o.Instance)
-	s.doubt(o)
+	delete(s.freeEstimates, o.Instance)
+	s.locateTasksOf(o)
 }
 
-// OnPeerDown puts what was dispatched over a lost connection in doubt.
-func (s *Service) OnPeerDown(peer wire.Owner) { s.doubt(peer) }
+// OnPeerDown starts to locate the tasks that were dispatched over a lost connection.
+func (s *Service) OnPeerDown(peer wire.Owner) { s.locateTasksOf(peer) }
 
-func (s *Service) doubt(holder wire.Owner) {
-	for _, id := range s.sortedEntries() {
+func (s *Service) locateTasksOf(holder wire.Owner) {
+	for _, id := range s.sortedEntryIDs() {
 		e := s.entries[id]
 		if e.holder == holder && (e.phase == phaseDispatched || e.phase == phaseRunning) {
 			s.startLocate(e)
@@ -342,4 +353,4 @@
 	}
 }
 
-func (s *Service) sortedEntries() []model.TaskID { return slices.Sorted(maps.Keys(s.entries)) }
+func (s *Service) sortedEntryIDs() []model.TaskID { return slices.Sorted(maps.Keys(s.entries)) }
--- a/internal/service/requests/entry.go
+++ b/internal/service/requests/entry.go
@@ -8,65 +8,67 @@
 	"pollenbend/internal/wire"
 )
 
-// phase is where a request stands at its coordinator.
+// phase is the state of a request at its coordinator.
 type phase uint8
 
 const (
-	phaseLocating phase = iota // not known whether it was started before
+	phaseLocating phase = iota // it is not known whether the task was started before
 	phaseWaiting
 	phaseDispatched
 	phaseRunning
-	phaseBackoff // ended, and to be run again after a pause
+	phaseBackoff // the last run ended; the task runs again after a delay
 	phaseFinished
 	phaseGang // waits to start together with its gang
 )
 
-// entry is the memory of one request.
+// entry is the state of one request, or of one task of a job.
 type entry struct {
-	id           string
-	task         model.Task
-	base         model.TaskID
-	shard        model.Shard
-	fingerprint  uint64
-	phase        phase
-	holder       wire.Owner // instance that the task was dispatched to
-	attempt      uint32
-	run          int
-	born         time.Duration // when it was received first, at the latest
-	receivedAt   time.Duration
-	startedAt    time.Duration
-	finishedAt   time.Duration
-	dispatchedAt time.Duration
-	deadline     time.Duration
-	canceled     bool
-	charged      bool   // counted as running for its team
-	place        uint64 // in the order received, once dispatched
-	waiters      []waiter
-	answer       model.Answer
-	worker       model.WorkerID
-	gang         *gang // that the task belongs to, or nil
-	failed       bool  // the last run failed by itself
+	id              string
+	task            model.Task
+	base            model.TaskID
+	shard           model.Shard
+	fingerprint     uint64
+	phase           phase
+	holder          wire.Owner // instance that the task was dispatched to
+	attempt         uint32
+	run             int
+	firstReceivedAt time.Duration // latest time at which any owner can have received it first
+	receivedAt      time.Duration
+	startedAt       time.Duration
+	finishedAt      time.Duration
+	dispatchedAt    time.Duration
+	deadline        time.Duration
+	canceled        bool
+	charged         bool   // counted as running for its team
+	queueRank       uint64 // rank in the order received, valid once dispatched
+	waiters         []waiter
+	answer          model.Answer
+	worker          model.WorkerID
+	gang            *gang // gang that the task belongs to, or nil
+	lastRunFailed   bool  // the last run failed without having been stopped
 }
 
+// waiter is a caller that waits for the answer, identified by its gateway and the
+// gateway's handle.
 type waiter struct {
 	from     wire.Owner
 	handle   uint64
 	deadline time.Duration
 }
 
-// neverSeen reports whether a request without an entry was certainly not seen
-// before: its ticket is of a term since which memory is complete, or everything
-// that could have been seen before is past its retention.
+// neverSeen reports whether a request without an entry was certainly never received
+// before: its ticket is from a term since which the records are complete, or any
+// earlier request is past the retention.
 func (s *Service) neverSeen(id string, shard model.Shard) bool {
-	past := s.past[shard]
-	if t, err := model.ParseTicket(id); err == nil && t.Term >= past.exactFrom {
+	history := s.history[shard]
+	if t, err := model.ParseTicket(id); err == nil && t.Term >= history.exactFrom {
 		return true
 	}
-	return past.lostAt == 0 || s.env.Now()-past.lostAt > s.env.Timing.Retention+s.env.Timing.RequestTimeout
+	return history.lostAt == 0 || s.env.Now()-history.lostAt > s.env.Timing.Retention+s.env.Timing.RequestTimeout
 }
 
-// enqueue makes a task wait for its team's turn. A task that finds its team's
-// queue full is refused: it has not run.
+// enqueue adds a task to its team's queue, or leaves it to its gang. If the team's
+// queue is full, the task is refused; it has not run.
 func (s *Service) enqueue(e *entry) {
 	if e.gang != nil {
 		s.setPhase(e, phaseGang)
@@ -74,20 +76,20 @@
 	}
 	s.setPhase(e, phaseWaiting)
 	if err := s.queue.Push(&e.task); err != nil {
-		s.finish(e, s.unstarted(e, verdict.CodeOverloaded, err.Error()))
+		s.finish(e, s.notStarted(e, verdict.CodeOverloaded, err.Error()))
 	}
-	s.moved = true
+	s.dispatchDue = true
 }
 
-// setPhase moves an entry on and keeps the queue's account of its team: a task is
-// charged to it from its dispatch to its end.
+// setPhase sets an entry's phase and updates the usage that the queue accounts to its
+// team: a task is charged from its dispatch until it ends.
 func (s *Service) setPhase(e *entry, p phase) {
 	if e.phase == phaseWaiting && p != phaseWaiting {
 		s.queue.Cancel(e.task.ID)
 	}
 	was, is := e.charged, p == phaseDispatched || p == phaseRunning || p == phaseLocating && e.charged
 	if is && !was {
-		e.place = s.queue.Started(&e.task)
+		e.queueRank = s.queue.Started(&e.task)
 	}
 	if was && !is {
 		s.queue.Ended(&e.task)
@@ -96,8 +98,8 @@
 	e.phase = p
 	if e.gang != nil {
 		e.gang.changed = true
-		s.gangsMoved = true
-		s.moved = true
+		s.gangsChanged = true
+		s.dispatchDue = true
 	}
 	if p == phaseFinished {
 		delete(s.open, e.base)
@@ -106,12 +108,12 @@
 	s.open[e.base] = e
 }
 
-// finish gives a request its final answer and tells everyone who waits for it.
+// finish records a request's final answer and sends it to all waiting callers.
 func (s *Service) finish(e *entry, a model.Answer) {
 	a.ID = e.id
 	s.setPhase(e, phaseFinished)
 	e.finishedAt = s.env.Now()
-	s.ended = append(s.ended, e)
+	s.finished = append(s.finished, e)
 	e.answer = a
 	waiters := e.waiters
 	e.waiters = nil
@@ -121,5 +123,5 @@
 	if e.task.Job != "" && e.gang == nil {
 		s.jobs.TaskEnded(e.task, a)
 	}
-	s.moved = true
+	s.dispatchDue = true
 }
--- a/internal/service/requests/expiry.go
+++ b/internal/service/requests/expiry.go
@@ -8,29 +8,31 @@
 	"pollenbend/internal/verdict"
 )
 
-// OnTick ends requests whose callers' time is up and forgets old ones.
+// OnTick handles requests whose deadline has passed, removes finished entries past
+// the retention, retries locates, and resumes tasks after their backoff.
 func (s *Service) OnTick() {
 	now := s.env.Now()
 	for _, id := range s.due(now) {
 		s.expire(s.entries[id], now)
 	}
-	s.forgetOld(now)
+	s.evictFinished(now)
 	s.retryLocates(now)
-	s.endBackoffs(now)
-	s.gangsMoved = true
-	if now-s.sharesAt >= s.env.Timing.Heartbeat {
-		s.sharesAt = now
+	s.resumeAfterBackoff(now)
+	s.gangsChanged = true
+	if now-s.sharesRefreshedAt >= s.env.Timing.Heartbeat {
+		s.sharesRefreshedAt = now
 		s.refreshShares()
 	}
-	s.moved = true
+	s.dispatchDue = true
 }
 
-// due returns the open entries that have something to do at now, sorted.
+// due returns the sorted ids of open entries with an unanswered dispatch or with
+// waiting callers whose deadline has passed.
 func (s *Service) due(now time.Duration) []model.TaskID {
 	var ids []model.TaskID
 	for id, e := range s.open {
-		lost := e.phase == phaseDispatched && now-e.dispatchedAt > dispatchTimeout
-		if lost || len(e.waiters) > 0 && now >= e.deadline {
+		unanswered := e.phase == phaseDispatched && now-e.dispatchedAt > dispatchTimeout
+		if unanswered || len(e.waiters) > 0 && now >= e.deadline {
 			ids = append(ids, id)
 		}
 	}
@@ -38,37 +40,38 @@
 	return ids
 }
 
-// forgetOld drops the entries that ended longer ago than the retention. They
-// stand in the order of their ends.
-func (s *Service) forgetOld(now time.Duration) {
+// evictFinished removes the entries that finished longer ago than the retention. The
+// list is ordered by the time of finish.
+func (s *Service) evictFinished(now time.Duration) {
 	n := 0
-	for n < len(s.ended) && now-s.ended[n].finishedAt > s.env.Timing.Retention {
-		if e := s.ended[n]; s.entries[e.base] == e {
+	for n < len(s.finished) && now-s.finished[n].finishedAt > s.env.Timing.Retention {
+		if e := s.finished[n]; s.entries[e.base] == e {
 			delete(s.entries, e.base)
 		}
-		s.ended[n] = nil
+		s.finished[n] = nil
 		n++
 	}
-	s.ended = s.ended[n:]
+	s.finished = s.finished[n:]
 }
 
 func (s *Service) expire(e *entry, now time.Duration) {
 	switch e.phase {
 	case phaseWaiting:
-		s.finish(e, s.unstarted(e, verdict.CodeDeadline, "no worker was free in time"))
+		s.finish(e, s.notStarted(e, verdict.CodeDeadline, "no worker was free in time"))
 	case phaseDispatched:
 		if now-e.dispatchedAt > dispatchTimeout {
 			s.startLocate(e)
 		}
-		s.answerLate(e, now)
+		s.answerAtDeadline(e, now)
 	default:
-		s.answerLate(e, now)
+		s.answerAtDeadline(e, now)
 	}
 }
 
-// answerLate tells callers whose time is up the truth of this moment. The request
-// may run on, and its entry goes on to learn the outcome.
-func (s *Service) answerLate(e *entry, now time.Duration) {
+// answerAtDeadline replies to the waiting callers with the current phase once the
+// deadline has passed. The request may continue to run, and its entry still records
+// the outcome.
+func (s *Service) answerAtDeadline(e *entry, now time.Duration) {
 	if now < e.deadline {
 		return
 	}
@@ -83,10 +86,11 @@
 	}
 }
 
-// unstarted gives up a task that is not started now. Its request has not run,
-// unless an earlier run had begun, or another instance may have taken the shard
-// over, with the request in its memory, and run it without this one's knowledge.
-func (s *Service) unstarted(e *entry, code verdict.Code, message string) model.Answer {
+// notStarted returns the answer for a task that is dropped before its current run was
+// started. The verdict is "not run" unless an earlier run had begun, or another
+// instance may have taken over the shard together with the request and may have run
+// it without this instance's knowledge.
+func (s *Service) notStarted(e *entry, code verdict.Code, message string) model.Answer {
 	a := model.Refusal(e.id, verdict.Refuse(code, "%s", message).After(retryAfter))
 	if _, mine := s.ownership.Mine(e.shard); e.run > 1 || !s.connected() || !mine || s.handover.Frozen(e.shard) {
 		a.Verdict = verdict.MayHaveRun
@@ -95,5 +99,6 @@
 }
 
 // connected reports whether this instance would know if its shards had been taken
-// over: it hears most of the others, and its reading of the log is recent.
+// over: it is in contact with a majority of the instances, and its reading of the log
+// is recent.
 func (s *Service) connected() bool { return s.config.Fresh() && s.members.Majority() }
--- a/internal/service/requests/gang.go
+++ b/internal/service/requests/gang.go
@@ -12,23 +12,23 @@
 	"pollenbend/internal/wire"
 )
 
-// gang is a job whose tasks start together or not at all. Its tasks' ends are
-// told to the job together, too.
+// gang is a job whose tasks start together or not at all. The results of its tasks
+// are also reported to the job together.
 type gang struct {
 	key     gangKey
 	shard   model.Shard
 	count   int
 	members []*entry
-	changed bool // a member moved on since the gang was looked at
+	changed bool // the phase of a member has changed since the gang was advanced
 
-	since    time.Duration // when it began to wait
-	until    time.Duration // when it may try to start, or stop its tasks, again
-	gatherTo time.Duration // until when it keeps what it holds between rounds
-	tries    int
-	round    *round
-	held     map[model.TaskID]holding // by task without run
-	found    int                      // tasks with a place at the end of the last round
-	limited  bool                     // a holder kept tasks back for the team's upper limit
+	waitingSince  time.Duration // start of the current wait
+	notBefore     time.Duration // time of the next attempt to start the gang or stop its tasks
+	gatherUntil   time.Duration // until when it keeps its holds between rounds, or 0
+	failedRounds  int
+	round         *holdRound
+	holds         map[model.TaskID]taskHold // by task id without run
+	heldLastRound int                       // number of tasks held at the end of the last round
+	limited       bool                      // a holder held fewer tasks because of the team's upper limit
 }
 
 type gangKey struct {
@@ -37,67 +37,68 @@
 }
 
 const (
-	maxGang = 4096
-	// gangStopRetry is the pause before tasks that still run are told to stop
-	// again.
-	gangStopRetry = time.Second
+	maxGangTasks = 4096
+	// gangStopRetryInterval is the time until tasks that still run are sent another
+	// stop command.
+	gangStopRetryInterval = time.Second
 )
 
-// checkGang refuses a gang for which the listed fleet is too small even when it is
-// empty.
+// checkGang refuses a gang that does not fit on the listed workers even when they are
+// all idle.
 func (s *Service) checkGang(t *model.Task, count int) *verdict.Error {
 	if t.Kind != model.KindGang {
 		return nil
 	}
-	if count > maxGang {
-		return verdict.Refuse(verdict.CodeBadRequest, "a gang may have at most %d tasks", maxGang)
+	if count > maxGangTasks {
+		return verdict.Refuse(verdict.CodeBadRequest, "a gang may have at most %d tasks", maxGangTasks)
 	}
 	roster := s.ledger.Roster()
-	var matching, places int64
+	var matching, fitting int64
 	for _, w := range roster {
 		if t.Require.Matches(w.Labels) {
 			matching++
-			places += timesIn(t.Demand, w.Capacity)
+			fitting += maxFitting(t.Demand, w.Capacity)
 		}
 	}
-	if len(roster) == 0 || places >= int64(count) {
+	if len(roster) == 0 || fitting >= int64(count) {
 		return nil
 	}
 	return verdict.Refuse(verdict.CodeNeverFits,
 		"a gang of %d tasks never fits: %d of %d listed workers match, and empty they hold %d at once",
-		count, matching, len(roster), places)
+		count, matching, len(roster), fitting)
 }
 
-// timesIn returns how often demand fits into capacity.
-func timesIn(demand, capacity model.Resources) int64 {
-	times := int64(maxGang)
+// maxFitting returns how many tasks with this demand fit into capacity, at most
+// maxGangTasks.
+func maxFitting(demand, capacity model.Resources) int64 {
+	n := int64(maxGangTasks)
 	for _, d := range [][2]int64{
 		{demand.MilliCPU, capacity.MilliCPU}, {demand.MemoryMiB, capacity.MemoryMiB},
 		{demand.Slots, capacity.Slots}, {demand.Accelerators, capacity.Accelerators},
 	} {
 		if d[0] > 0 {
-			times = min(times, d[1]/d[0])
+			n = min(n, d[1]/d[0])
 		}
 	}
-	return times
+	return n
 }
 
-// joinGang makes an entry a member of its job's gang.
+// joinGang adds an entry to its job's gang, which it creates if necessary.
 func (s *Service) joinGang(e *entry, job model.Job) {
 	k := gangKey{e.task.Team, job.ID}
 	g, ok := s.gangs[k]
 	if !ok {
-		g = &gang{key: k, shard: e.shard, count: job.Count, since: s.env.Now(), held: make(map[model.TaskID]holding)}
+		g = &gang{key: k, shard: e.shard, count: job.Count, waitingSince: s.env.Now(), holds: make(map[model.TaskID]taskHold)}
 		s.gangs[k] = g
 	}
 	e.gang = g
 	g.members = append(g.members, e)
 	g.changed = true
-	s.gangsMoved = true
+	s.gangsChanged = true
 }
 
-// loseGangs forgets the gangs of a shard.
-func (s *Service) loseGangs(shard model.Shard) {
+// dropGangs removes the gangs of a shard and releases their holds.
+func (s *Service) dropGangs(shard model.Shard) {
 	for _, g := range s.sortedGangs() {
 		if g.shard == shard {
 			s.releaseHolds(g)
@@ -108,116 +109,118 @@
 
 func (s *Service) sortedGangs() []*gang {
 	return slices.SortedFunc(maps.Values(s.gangs), func(a, b *gang) int {
-		return cmp.Or(cmp.Compare(a.since, b.since), cmp.Compare(a.key.team, b.key.team), cmp.Compare(a.key.job, b.key.job))
+		return cmp.Or(cmp.Compare(a.waitingSince, b.waitingSince), cmp.Compare(a.key.team, b.key.team), cmp.Compare(a.key.job, b.key.job))
 	})
 }
 
-// stepGangs moves every gang on that has changed or whose time has come, the one
-// that waits longest first.
-func (s *Service) stepGangs() {
-	if !s.gangsMoved || len(s.gangs) == 0 {
+// advanceGangs advances every complete gang that has changed, is due or has an open
+// round, the longest waiting first.
+func (s *Service) advanceGangs() {
+	if !s.gangsChanged || len(s.gangs) == 0 {
 		return
 	}
-	s.gangsMoved = false
+	s.gangsChanged = false
 	for _, g := range s.sortedGangs() {
-		if len(g.members) == g.count && (g.changed || s.env.Now() >= g.until || g.round != nil) {
+		if len(g.members) == g.count && (g.changed || s.env.Now() >= g.notBefore || g.round != nil) {
 			g.changed = false
-			s.stepGang(g)
+			s.advanceGang(g)
 		}
 	}
 }
 
-// gangCount counts a gang's members by what is known of them.
-type gangCount struct {
-	open, idle, active, ended, done, given int
+// gangTally holds the numbers of a gang's members by state.
+type gangTally struct {
+	locating, waiting, active, ended, succeeded, unsuccessful int
 }
 
-func (g *gang) tally() gangCount {
-	var c gangCount
+func (g *gang) tally() gangTally {
+	var c gangTally
 	for _, e := range g.members {
 		switch {
 		case e.phase == phaseLocating:
-			c.open++
+			c.locating++
 		case e.phase == phaseDispatched || e.phase == phaseRunning:
 			c.active++
 		case e.phase == phaseBackoff:
 			c.ended++
 		case e.phase == phaseFinished && e.answer.Verdict == verdict.Done && e.answer.Code == verdict.CodeOK:
-			c.done++
+			c.succeeded++
 		case e.phase == phaseFinished:
-			c.given++ // canceled or in doubt
+			c.unsuccessful++ // canceled, failed or in doubt
 		default:
-			c.idle++
+			c.waiting++
 		}
 	}
 	return c
 }
 
-func (s *Service) stepGang(g *gang) {
+func (s *Service) advanceGang(g *gang) {
 	c := g.tally()
 	switch {
-	case c.open > 0:
-	case c.done+c.given == g.count:
+	case c.locating > 0:
+	case c.succeeded+c.unsuccessful == g.count:
 		s.endGang(g)
-	case c.idle == g.count:
-		s.tryStart(g)
-	case c.idle+c.ended+c.given == 0: // all run or have run well
+	case c.waiting == g.count:
+		s.tryStartGang(g)
+	case c.waiting+c.ended+c.unsuccessful == 0: // every member runs or has succeeded
 	case c.active > 0:
 		s.stopGang(g)
 	default:
-		s.settleGang(g, c)
+		s.restartOrAbortGang(g, c)
 	}
 }
 
-// stopGang stops what runs of a gang that is not whole.
+// stopGang stops the active tasks of a gang in which another task has ended or is
+// not started.
 func (s *Service) stopGang(g *gang) {
-	if s.env.Now() < g.until {
+	if s.env.Now() < g.notBefore {
 		return
 	}
-	g.until = s.env.Now() + gangStopRetry
+	g.notBefore = s.env.Now() + gangStopRetryInterval
 	for _, e := range g.members {
 		if e.phase == phaseDispatched || e.phase == phaseRunning {
-			s.stopAs(e, platform.StopCheckpoint)
+			s.stopWithMode(e, platform.StopCheckpoint)
 		}
 	}
 }
 
-// settleGang runs a gang again of which some tasks ran and nothing runs any more,
-// or else gives it up.
-func (s *Service) settleGang(g *gang, c gangCount) {
-	run, again := 0, c.given == 0
+// restartOrAbortGang handles a gang of which some tasks have run and none is active:
+// it runs the whole gang again if that is allowed, or aborts it.
+func (s *Service) restartOrAbortGang(g *gang, c gangTally) {
+	run, mayRunAgain := 0, c.unsuccessful == 0
 	for _, e := range g.members {
 		run = max(run, e.run)
-		again = again && e.task.Repeatable && !e.canceled && (!e.failed || e.run < maxRuns)
+		mayRunAgain = mayRunAgain && e.task.Repeatable && !e.canceled && (!e.lastRunFailed || e.run < maxRuns)
 	}
 	s.releaseHolds(g)
-	if !again {
-		s.giveUp(g)
+	if !mayRunAgain {
+		s.abortGang(g)
 		return
 	}
 	for _, e := range g.members {
-		e.run, e.attempt, e.holder, e.failed = run+1, 0, wire.Owner{}, false
+		e.run, e.attempt, e.holder, e.lastRunFailed = run+1, 0, wire.Owner{}, false
 		s.setPhase(e, phaseGang)
 	}
-	g.since = s.env.Now()
-	s.pauseGang(g)
+	g.waitingSince = s.env.Now()
+	s.backOffGang(g)
 }
 
-func (s *Service) giveUp(g *gang) {
+// abortGang finishes all members that have no final answer yet.
+func (s *Service) abortGang(g *gang) {
 	for _, e := range g.members {
 		switch {
 		case e.phase == phaseFinished:
 		case e.phase == phaseBackoff:
 			s.finish(e, e.answer)
 		case e.canceled:
-			s.finish(e, s.unstarted(e, verdict.CodeCanceled, "canceled before it was started"))
+			s.finish(e, s.notStarted(e, verdict.CodeCanceled, "canceled before it was started"))
 		default:
-			s.finish(e, s.unstarted(e, verdict.CodeTaskFailed, "another task of its gang has failed"))
+			s.finish(e, s.notStarted(e, verdict.CodeTaskFailed, "another task of its gang has failed"))
 		}
 	}
 }
 
-// endGang tells the job of all its tasks' ends at once.
+// endGang reports the answers of all tasks to the job at once and removes the gang.
 func (s *Service) endGang(g *gang) {
 	s.releaseHolds(g)
 	delete(s.gangs, g.key)
@@ -226,7 +229,8 @@
 	}
 }
 
-// onGangOutcome keeps a task's outcome until all of its gang have ended.
+// onGangOutcome records a task's outcome. A task that did not succeed is finished only
+// once the gang is aborted, since the gang may run again.
 func (s *Service) onGangOutcome(e *entry, out model.Outcome) {
 	if e.phase == phaseBackoff {
 		return
@@ -237,6 +241,6 @@
 		return
 	}
 	a.ID = e.id
-	e.answer, e.failed = a, out.Failed && !out.Stopped
+	e.answer, e.lastRunFailed = a, out.Failed && !out.Stopped
 	s.setPhase(e, phaseBackoff)
 }
--- a/internal/service/requests/ganghold.go
+++ b/internal/service/requests/ganghold.go
@@ -9,49 +9,52 @@
 	"pollenbend/internal/wire"
 )
 
-// round asks the holders one after another, in the order of their names, to keep
-// room for the tasks of a gang that have none yet.
-type round struct {
-	id     uint64
-	order  []wire.Owner
-	next   int
-	sentAt time.Duration // of the question that is open
+// holdRound asks the holders one after another, in the order of their ids, to reserve
+// resources for those tasks of a gang that have no hold yet.
+type holdRound struct {
+	id      uint64
+	holders []wire.Owner
+	next    int
+	askedAt time.Duration // when the unanswered request was sent
 }
 
-// holding is room that a holder keeps for one task.
-type holding struct {
-	owner wire.Owner
-	at    time.Duration // when it was asked for
+// taskHold is a reservation of resources for one task at a holder.
+type taskHold struct {
+	holder  wire.Owner
+	askedAt time.Duration // when the reservation was requested
 }
 
 const (
-	// holdTime is how long a holder keeps room; holdMargin is the part of it on
-	// which a start may still rely.
-	holdTime   = 2 * time.Second
-	holdMargin = time.Second
-	askTimeout = 500 * time.Millisecond
-	// gangPatience is how long a gang waits before it keeps room between rounds.
-	gangPatience = 5 * time.Second
-	gatherTime   = 10 * time.Second
-	gatherPause  = 300 * time.Millisecond
-	minGangPause = 100 * time.Millisecond
-	maxGangPause = 800 * time.Millisecond
+	// holdDuration is how long a holder keeps a hold. maxHoldAge is the age below
+	// which a start may still rely on one.
+	holdDuration = 2 * time.Second
+	maxHoldAge   = time.Second
+	// holdReplyTimeout is how long a holder's reply is awaited before the next holder
+	// is asked.
+	holdReplyTimeout = 500 * time.Millisecond
+	// gatherDelay is how long a gang waits before it starts to keep its holds between
+	// rounds. It then does so for gatherWindow, with gatherInterval between rounds.
+	gatherDelay    = 5 * time.Second
+	gatherWindow   = 10 * time.Second
+	gatherInterval = 300 * time.Millisecond
+	minGangBackoff = 100 * time.Millisecond
+	maxGangBackoff = 800 * time.Millisecond
 )
 
-// tryStart goes on with the round of a waiting gang, or begins one.
-func (s *Service) tryStart(g *gang) {
+// tryStartGang continues the current round of a waiting gang, or begins one.
+func (s *Service) tryStartGang(g *gang) {
 	now := s.env.Now()
 	if _, mine := s.ownership.Mine(g.shard); !mine || s.handover.Frozen(g.shard) {
 		s.releaseHolds(g)
 		return
 	}
 	if g.round != nil {
-		if now-g.round.sentAt >= askTimeout || !s.members.IsLive(g.round.order[g.round.next]) {
-			s.askNext(g)
+		if now-g.round.askedAt >= holdReplyTimeout || !s.members.IsLive(g.round.holders[g.round.next]) {
+			s.askNextHolder(g)
 		}
 		return
 	}
-	if now < g.until {
+	if now < g.notBefore {
 		return
 	}
 	g.limited = false
@@ -62,48 +65,48 @@
 	for _, e := range g.members {
 		e.run = run
 	}
-	order := slices.Clone(s.members.Live())
-	slices.SortFunc(order, func(a, b wire.Owner) int { return cmp.Compare(a.Instance, b.Instance) })
-	g.round = &round{order: order, next: -1}
-	s.askNext(g)
+	holders := slices.Clone(s.members.Live())
+	slices.SortFunc(holders, func(a, b wire.Owner) int { return cmp.Compare(a.Instance, b.Instance) })
+	g.round = &holdRound{holders: holders, next: -1}
+	s.askNextHolder(g)
 }
 
-// askNext asks the next holder, or ends the round.
-func (s *Service) askNext(g *gang) {
+// askNextHolder asks the next holder for holds, or ends the round after the last.
+func (s *Service) askNextHolder(g *gang) {
 	r := g.round
 	for g.round == r {
 		r.next++
-		if r.next >= len(r.order) {
+		if r.next >= len(r.holders) {
 			s.endRound(g)
 			return
 		}
-		to := r.order[r.next]
-		tasks := g.wanted(to)
+		to := r.holders[r.next]
+		tasks := g.tasksToHold(to)
 		if len(tasks) == 0 {
 			continue
 		}
 		term, _ := s.ownership.Mine(g.shard)
-		s.holdID++
-		r.id, r.sentAt = s.holdID, s.env.Now()
-		m := wire.HoldTasks{ID: r.id, Tasks: tasks, Term: term, Expires: holdTime}
+		s.lastHoldID++
+		r.id, r.askedAt = s.lastHoldID, s.env.Now()
+		m := wire.HoldTasks{ID: r.id, Tasks: tasks, Term: term, Expires: holdDuration}
 		if to != s.env.Owner() {
 			s.env.Send(to.Instance, m)
 			return
 		}
-		s.noteHeld(g, s.ledger.HoldTasks(m))
+		s.recordHeld(g, s.ledger.HoldTasks(m))
 	}
 }
 
-// wanted returns the tasks to ask a holder for: those without room, and those that
-// it keeps room for already.
-func (g *gang) wanted(holder wire.Owner) []model.Task {
+// tasksToHold returns the tasks for which a holder is asked: those without a hold, and
+// those that it holds already, whose holds are thereby extended.
+func (g *gang) tasksToHold(holder wire.Owner) []model.Task {
 	var tasks []model.Task
 	for _, e := range g.members {
-		if h, held := g.held[e.base]; held && h.owner != holder {
+		if h, held := g.holds[e.base]; held && h.holder != holder {
 			continue
 		}
 		t := e.task
-		t.ID, t.Payload = e.taskOf(), nil
+		t.ID, t.Payload = e.runID(), nil
 		tasks = append(tasks, t)
 	}
 	return tasks
@@ -111,9 +114,9 @@
 
 func (s *Service) onHeld(from wire.Owner, m wire.Held) {
 	for _, g := range s.gangs {
-		if g.round != nil && g.round.id == m.ID && g.round.order[g.round.next] == from {
-			s.noteHeld(g, m)
-			s.askNext(g)
+		if g.round != nil && g.round.id == m.ID && g.round.holders[g.round.next] == from {
+			s.recordHeld(g, m)
+			s.askNextHolder(g)
 			return
 		}
 	}
@@ -122,62 +125,62 @@
 	}
 }
 
-// noteHeld replaces what the holder asked last keeps.
-func (s *Service) noteHeld(g *gang, m wire.Held) {
-	owner := g.round.order[g.round.next]
-	for base, h := range g.held {
-		if h.owner == owner {
-			delete(g.held, base)
+// recordHeld replaces the known holds of the holder that was asked last.
+func (s *Service) recordHeld(g *gang, m wire.Held) {
+	holder := g.round.holders[g.round.next]
+	for base, h := range g.holds {
+		if h.holder == holder {
+			delete(g.holds, base)
 		}
 	}
 	for _, id := range m.Tasks {
-		g.held[model.BaseTask(id)] = holding{owner: owner, at: g.round.sentAt}
+		g.holds[model.BaseTask(id)] = taskHold{holder: holder, askedAt: g.round.askedAt}
 	}
 	g.limited = g.limited || m.Limited
 }
 
-// endRound starts the gang if all its tasks are held. Otherwise it gives the room
-// back, but for a gang that has waited long: that keeps it for a while.
+// endRound starts the gang if all its tasks are held. Otherwise it releases the holds,
+// except that a gang that has waited for gatherDelay keeps them for gatherWindow.
 func (s *Service) endRound(g *gang) {
 	now := s.env.Now()
 	g.round = nil
-	for base, h := range g.held {
-		if now-h.at >= holdMargin || !s.members.IsLive(h.owner) {
-			delete(g.held, base) // expires by itself
+	for base, h := range g.holds {
+		if now-h.askedAt >= maxHoldAge || !s.members.IsLive(h.holder) {
+			delete(g.holds, base) // expires by itself
 		}
 	}
-	g.found = len(g.held)
-	if len(g.held) == g.count {
+	g.heldLastRound = len(g.holds)
+	if len(g.holds) == g.count {
 		s.startGang(g)
 		return
 	}
-	if g.gatherTo == 0 && now-g.since >= gangPatience {
-		g.gatherTo = now + gatherTime
+	if g.gatherUntil == 0 && now-g.waitingSince >= gatherDelay {
+		g.gatherUntil = now + gatherWindow
 	}
-	if now < g.gatherTo {
-		g.until = now + gatherPause
+	if now < g.gatherUntil {
+		g.notBefore = now + gatherInterval
 		return
 	}
-	gathered := g.gatherTo > 0
+	gathered := g.gatherUntil > 0
 	s.releaseHolds(g)
-	s.pauseGang(g)
+	s.backOffGang(g)
 	if gathered {
-		g.since = now // its patience begins anew, so that another gang has a turn
-		g.until = now + time.Duration(s.env.Rand().Int64N(int64(gangPatience)))
+		g.waitingSince = now // restarts the gather delay, so that another gang can start
+		g.notBefore = now + time.Duration(s.env.Rand().Int64N(int64(gatherDelay)))
 	}
 }
 
-// startGang dispatches every task to the holder that keeps room for it.
+// startGang dispatches every task to the holder that reserved resources for it.
 func (s *Service) startGang(g *gang) {
 	term, _ := s.ownership.Mine(g.shard)
-	held := g.held
-	g.held = make(map[model.TaskID]holding)
-	g.gatherTo, g.tries, g.until = 0, 0, 0
+	holds := g.holds
+	g.holds = make(map[model.TaskID]taskHold)
+	g.gatherUntil, g.failedRounds, g.notBefore = 0, 0, 0
 	for _, e := range g.members {
 		d := wire.Dispatch{Task: e.task, Term: term, Attempt: e.attempt + 1}
-		d.Task.ID = e.taskOf()
-		to := held[e.base].owner
-		s.leave(e, to, d.Attempt)
+		d.Task.ID = e.runID()
+		to := holds[e.base].holder
+		s.markDispatched(e, to, d.Attempt)
 		if to == s.env.Owner() {
 			s.OnTaskState(to, s.ledger.Dispatch(d))
 			continue
@@ -186,27 +189,28 @@
 	}
 }
 
-// pauseGang makes a gang wait before its next round, longer with every try.
-func (s *Service) pauseGang(g *gang) {
-	pause := min(minGangPause<<min(g.tries, 3), maxGangPause)
-	g.tries++
-	g.until = s.env.Now() + pause/2 + time.Duration(s.env.Rand().Int64N(int64(pause)/2+1))
+// backOffGang delays a gang's next round, longer after every unsuccessful one, with
+// jitter.
+func (s *Service) backOffGang(g *gang) {
+	delay := min(minGangBackoff<<min(g.failedRounds, 3), maxGangBackoff)
+	g.failedRounds++
+	g.notBefore = s.env.Now() + delay/2 + time.Duration(s.env.Rand().Int64N(int64(delay)/2+1))
 }
 
-// releaseHolds gives back all that is kept for a gang, and ends its round.
+// releaseHolds releases all holds of a gang and ends its round.
 func (s *Service) releaseHolds(g *gang) {
-	g.round, g.gatherTo = nil, 0
-	owners := make(map[wire.Owner][]model.TaskID)
+	g.round, g.gatherUntil = nil, 0
+	tasksByHolder := make(map[wire.Owner][]model.TaskID)
 	for _, e := range g.members {
-		if h, ok := g.held[e.base]; ok {
-			owners[h.owner] = append(owners[h.owner], e.taskOf())
+		if h, ok := g.holds[e.base]; ok {
+			tasksByHolder[h.holder] = append(tasksByHolder[h.holder], e.runID())
 		}
 	}
-	clear(g.held)
-	order := slices.Clone(s.members.Live())
-	slices.SortFunc(order, func(a, b wire.Owner) int { return cmp.Compare(a.Instance, b.Instance) })
-	for _, o := range order {
-		ids, ok := owners[o]
+	clear(g.holds)
+	holders := slices.Clone(s.members.Live())
+	slices.SortFunc(holders, func(a, b wire.Owner) int { return cmp.Compare(a.Instance, b.Instance) })
+	for _, o := range holders {
+		ids, ok := tasksByHolder[o]
 		switch {
 		case !ok:
 		case o == s.env.Owner():
--- a/internal/service/requests/jobtasks.go
+++ b/internal/service/requests/jobtasks.go
@@ -11,24 +11,25 @@
 	"pollenbend/internal/wire"
 )
 
-// Caller names someone who waits for an answer.
+// Caller identifies a caller that waits for an answer, by its gateway and the
+// gateway's handle.
 type Caller struct {
 	From   wire.Owner
 	Handle uint64
 }
 
-// Jobs keeps the jobs accepted for later.
+// Jobs stores accepted jobs and tracks their progress.
 type Jobs interface {
 	Submit(c Caller, job model.Job)
 	Status(team model.TeamID, id model.JobID, why bool) (model.Answer, bool)
-	// Cancel starts to cancel a job. It reports whether there is such a job.
+	// Cancel starts to cancel a job. It reports whether the job exists.
 	Cancel(c Caller, team model.TeamID, id model.JobID) bool
 	TaskEnded(t model.Task, a model.Answer)
 }
 
-const maxTasksByJob = 100000
+const maxTasksPerJob = 100000
 
-// submit builds a job and hands it over to be accepted.
+// submit builds a job and passes it to the jobs service for acceptance.
 func (s *Service) submit(from wire.Owner, f wire.Forward) {
 	job, refusal := s.buildJob(f)
 	if refusal != nil {
@@ -40,8 +41,8 @@
 
 func (s *Service) buildJob(f wire.Forward) (model.Job, *verdict.Error) {
 	job := model.Job{ID: model.JobID(f.Request.ID), Count: max(f.Request.Count, 1)}
-	if job.Count > maxTasksByJob {
-		return job, verdict.Refuse(verdict.CodeBadRequest, "count must be at most %d", maxTasksByJob)
+	if job.Count > maxTasksPerJob {
+		return job, verdict.Refuse(verdict.CodeBadRequest, "count must be at most %d", maxTasksPerJob)
 	}
 	t, refusal := s.buildTask("", f)
 	if refusal != nil {
@@ -55,15 +56,15 @@
 	if refusal := s.checkGang(&t, job.Count); refusal != nil {
 		return job, refusal
 	}
-	if !s.everFits(&t) {
+	if !s.fitsListedWorker(&t) {
 		return job, verdict.Refuse(verdict.CodeNeverFits, "no listed worker could ever run this: demand %+v, selector %+v", t.Demand, t.Require)
 	}
 	job.Template = t
 	return job, nil
 }
 
-// AddTask makes a task of an accepted job wait. With check set, it may have been
-// started under an earlier owner of the job's shard.
+// AddTask queues a task of an accepted job. If check is set, the task may have been
+// started under an earlier owner of the job's shard and is located first.
 func (s *Service) AddTask(job model.Job, index int, check bool) {
 	t := job.Template
 	t.ID = model.TaskIDOf(t.Team, string(job.ID), index)
@@ -84,7 +85,7 @@
 	}
 	e := &entry{
 		id: string(job.ID), task: t, base: t.ID, shard: model.ShardOfTask(t.ID), run: 1,
-		receivedAt: s.env.Now(), born: s.env.Now(),
+		receivedAt: s.env.Now(), firstReceivedAt: s.env.Now(),
 	}
 	s.entries[t.ID] = e
 	if t.Kind == model.KindGang {
@@ -97,7 +98,7 @@
 	s.enqueue(e)
 }
 
-// CancelTask cancels a job's task.
+// CancelTask cancels a job's task that has not finished.
 func (s *Service) CancelTask(id model.TaskID) {
 	e, ok := s.entries[id]
 	if !ok || e.phase == phaseFinished {
@@ -105,47 +106,47 @@
 	}
 	e.canceled = true
 	if e.phase == phaseWaiting || e.phase == phaseBackoff || e.phase == phaseGang {
-		s.finish(e, s.unstarted(e, verdict.CodeCanceled, "canceled before it was started"))
+		s.finish(e, s.notStarted(e, verdict.CodeCanceled, "canceled before it was started"))
 		return
 	}
 	s.stop(e)
 }
 
-// Forget drops a job's ended task from memory.
+// Forget removes the entry of a job's finished task.
 func (s *Service) Forget(id model.TaskID) {
 	if e, ok := s.entries[id]; ok && e.phase == phaseFinished {
 		delete(s.entries, id)
 	}
 }
 
-// Reply gives a caller an answer.
+// Reply sends an answer to a caller.
 func (s *Service) Reply(c Caller, a model.Answer) {
 	s.reply(waiter{from: c.From, handle: c.Handle}, a)
 }
 
-// Reason tells why a request waits.
+// Reason explains why a request waits. It is sent to callers as JSON.
 type Reason struct {
 	Phase       string                `json:"phase"`
 	TeamWaiting int                   `json:"team_waiting"`        // tasks of the team that wait at this instance
-	TeamLevel   float64               `json:"team_level"`          // dominant part of the fleet over the share
-	AtLimit     bool                  `json:"at_limit"`            // a holder refused it lately for the team's upper limit
-	Here        scheduler.Explanation `json:"here"`                // by filter, on the workers held here
-	GangHeld    int                   `json:"gang_held,omitempty"` // tasks of its gang that had a place at the last try
+	TeamLevel   float64               `json:"team_level"`          // dominant part of the fleet divided by the configured share
+	AtLimit     bool                  `json:"at_limit"`            // a holder recently refused it because of the team's upper limit
+	Here        scheduler.Explanation `json:"here"`                // counted by filter, on the workers held here
+	GangHeld    int                   `json:"gang_held,omitempty"` // tasks of its gang held at the end of the last round
 	GangSize    int                   `json:"gang_size,omitempty"`
 }
 
-// why explains an entry's wait as a JSON document.
-func (s *Service) why(e *entry) []byte {
+// explainWait returns the Reason of an entry as JSON, or nil if it can't be encoded.
+func (s *Service) explainWait(e *entry) []byte {
 	r := Reason{
 		Phase: e.phase.String(), TeamWaiting: s.queue.Waiting(e.task.Team),
 		TeamLevel: s.queue.Book.Account(e.task.Team).Level(), Here: s.ledger.Explain(&e.task),
 	}
 	for _, o := range s.members.Live() {
-		r.AtLimit = r.AtLimit || s.refused(o.Instance, e.task.Team)
+		r.AtLimit = r.AtLimit || s.recentlyRefused(o.Instance, e.task.Team)
 	}
 	if g := e.gang; g != nil {
 		r.AtLimit = r.AtLimit || g.limited
-		r.GangHeld, r.GangSize = g.found, g.count
+		r.GangHeld, r.GangSize = g.heldLastRound, g.count
 	}
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -154,7 +155,8 @@
 	return body
 }
 
-// Why explains why a job's tasks wait: the first that does.
+// Why returns the Reason of the first waiting task among ids as JSON, or nil if none
+// waits.
 func (s *Service) Why(ids []model.TaskID) []byte {
 	i := slices.IndexFunc(ids, func(id model.TaskID) bool {
 		e, ok := s.entries[id]
@@ -163,10 +165,10 @@
 	if i < 0 {
 		return nil
 	}
-	return s.why(s.entries[ids[i]])
+	return s.explainWait(s.entries[ids[i]])
 }
 
-// Phases counts a job's tasks by phase.
+// Phases returns how many of a job's tasks wait and how many are dispatched or running.
 func (s *Service) Phases(ids []model.TaskID) (waiting, running int) {
 	for _, id := range ids {
 		e, ok := s.entries[id]
--- a/internal/service/requests/locate.go
+++ b/internal/service/requests/locate.go
@@ -9,21 +9,21 @@
 	"pollenbend/internal/wire"
 )
 
-// locate asks every live instance what became of one task. "Never started" is
-// certain once the answers cover every listed worker: each answer fences the
-// task, and a worker is covered only under a lease that keeps everyone else from
-// starting anything there.
+// locate asks every live instance for the state of one task. It is certain that the
+// task was never started once the replies cover every listed worker: each reply
+// fences the task, and a worker is covered only under a lease that prevents every
+// other instance from starting anything there.
 type locate struct {
-	id      uint64
-	entry   model.TaskID
-	sentAt  time.Duration
-	covered map[model.WorkerID]bool
-	young   map[model.WorkerID]bool
+	id        uint64
+	entry     model.TaskID
+	sentAt    time.Duration
+	covered   map[model.WorkerID]bool
+	restarted map[model.WorkerID]bool // covered workers that may have forgotten a run of the task
 }
 
-const locateRetry = 250 * time.Millisecond
+const locateRetryInterval = 250 * time.Millisecond
 
-// startLocate puts an entry in doubt and asks for its task.
+// startLocate sets an entry to phaseLocating and begins to locate its task.
 func (s *Service) startLocate(e *entry) {
 	if e.phase == phaseLocating {
 		for _, l := range s.locates {
@@ -33,30 +33,31 @@
 		}
 	}
 	s.setPhase(e, phaseLocating)
-	s.locID++
-	l := &locate{id: s.locID, entry: e.base}
+	s.lastLocateID++
+	l := &locate{id: s.lastLocateID, entry: e.base}
 	s.locates[l.id] = l
-	s.ask(l, e)
+	s.startLocateRound(l, e)
 }
 
-// ask starts a round. Answers of earlier rounds do not count: a worker that was
-// covered then may have changed hands since.
-func (s *Service) ask(l *locate, e *entry) {
+// startLocateRound sends a new request to all live instances. Replies to earlier
+// rounds are discarded, because a worker that was covered then may have another lease
+// holder now.
+func (s *Service) startLocateRound(l *locate, e *entry) {
 	term, ok := s.ownership.Mine(e.shard)
 	if !ok {
 		delete(s.locates, l.id)
 		return
 	}
 	delete(s.locates, l.id)
-	s.locID++
-	l.id = s.locID
+	s.lastLocateID++
+	l.id = s.lastLocateID
 	s.locates[l.id] = l
 	l.sentAt = s.env.Now()
 	l.covered = make(map[model.WorkerID]bool)
-	l.young = make(map[model.WorkerID]bool)
+	l.restarted = make(map[model.WorkerID]bool)
 	q := wire.LocateTask{
-		Task: e.taskOf(), Attempt: e.attempt,
-		Age: s.env.Now() - e.born + s.pastOf(e),
+		Task: e.runID(), Attempt: e.attempt,
+		Age: s.env.Now() - e.firstReceivedAt + s.priorAge(e),
 	}
 	m := wire.Locate{ID: l.id, Shard: e.shard, Term: term, Tasks: []wire.LocateTask{q}}
 	for _, o := range s.members.Live() {
@@ -67,10 +68,10 @@
 	s.onLocated(s.env.Owner(), s.ledger.Locate(m))
 }
 
-// pastOf returns how long before its receipt here a request may first have been
-// started: under an earlier owner, within what workers remember.
-func (s *Service) pastOf(e *entry) time.Duration {
-	if s.past[e.shard].lostAt == 0 {
+// priorAge returns how long before its receipt here a request may have been started
+// under an earlier owner. The retention of the workers bounds it.
+func (s *Service) priorAge(e *entry) time.Duration {
+	if s.history[e.shard].lostAt == 0 {
 		return 0
 	}
 	return s.env.Timing.Retention
@@ -95,11 +96,11 @@
 		l.covered[id] = true
 	}
 	for _, id := range m.Young {
-		l.young[id] = true
+		l.restarted[id] = true
 	}
 	if s.coversAll(l) {
 		delete(s.locates, l.id)
-		s.settleUnseen(e, l)
+		s.resolveUnseen(e, l)
 	}
 }
 
@@ -113,11 +114,11 @@
 	return len(roster) > 0
 }
 
-// settleUnseen goes on with a task that no worker has seen. A worker that has
-// restarted may have run it and forgotten: a task that must not be repeated is
-// then left alone.
-func (s *Service) settleUnseen(e *entry, l *locate) {
-	if len(l.young) > 0 {
+// resolveUnseen handles a task that no worker has seen. A restarted worker may have
+// run the task without remembering it; a task that is not repeatable then ends as in
+// doubt.
+func (s *Service) resolveUnseen(e *entry, l *locate) {
+	if len(l.restarted) > 0 {
 		if !e.task.Repeatable {
 			s.finish(e, model.Answer{
 				Verdict: verdict.MayHaveRun, Code: verdict.CodeInDoubt,
@@ -125,32 +126,34 @@
 			})
 			return
 		}
-		e.run++ // the run before may be the one that was forgotten
+		e.run++ // a restarted worker may have had the previous run
 	}
 	if e.canceled {
-		s.finish(e, s.unstarted(e, verdict.CodeCanceled, "canceled before it was started"))
+		s.finish(e, s.notStarted(e, verdict.CodeCanceled, "canceled before it was started"))
 		return
 	}
 	if e.fingerprint == 0 && e.task.Job == "" {
-		s.dropUnknown(e)
+		s.dropAdopted(e)
 		return
 	}
 	e.holder = wire.Owner{}
 	s.enqueue(e)
 }
 
-// dropUnknown forgets a request that was adopted from a task's state and whose
-// task is not known: nobody has asked for it here. Whoever does starts afresh.
-func (s *Service) dropUnknown(e *entry) {
+// dropAdopted removes an entry that was adopted from a task state and whose full task
+// is not known, because no caller has asked for it here. A later request for the id
+// creates a new entry.
+func (s *Service) dropAdopted(e *entry) {
 	s.setPhase(e, phaseFinished)
 	delete(s.entries, e.base)
 }
 
-// retryLocates asks again where not every worker was covered.
+// retryLocates starts another round for the tasks whose last round has not covered
+// every worker in time.
 func (s *Service) retryLocates(now time.Duration) {
 	var ids []uint64
 	for id, l := range s.locates {
-		if now-l.sentAt >= locateRetry {
+		if now-l.sentAt >= locateRetryInterval {
 			ids = append(ids, id)
 		}
 	}
@@ -162,6 +165,6 @@
 			delete(s.locates, id)
 			continue
 		}
-		s.ask(l, e)
+		s.startLocateRound(l, e)
 	}
 }
--- a/internal/service/requests/memory.go
+++ b/internal/service/requests/memory.go
@@ -8,35 +8,35 @@
 	"pollenbend/internal/wire"
 )
 
-// shardPast tells what is remembered of a shard.
-type shardPast struct {
-	exactFrom uint64        // tickets from this term on are remembered completely
-	lostAt    time.Duration // when memory was lost last, 0 when never
+// shardHistory describes how complete the records of a shard's requests are.
+type shardHistory struct {
+	exactFrom uint64        // all requests with tickets from this term on are recorded
+	lostAt    time.Duration // when records were last lost, 0 if never
 }
 
-// heldMemory is memory received for a shard that is not owned yet. It counts only
-// when the shard is handed over at the very term it was sent for.
-type heldMemory struct {
-	shard   wire.ShardMemory
-	entries []wire.RequestMemory
-	at      time.Duration
+// pendingImport holds the records received for a shard that is not owned here yet.
+// They are used only if the shard is handed over at the term they were sent for.
+type pendingImport struct {
+	shard      wire.ShardMemory
+	entries    []wire.RequestMemory
+	receivedAt time.Duration
 }
 
-// Export returns what is remembered of the shards' requests.
+// Export returns the records of the shards' requests, with times as ages.
 func (s *Service) Export(shards []wire.ShardTerm) ([]wire.ShardMemory, []wire.RequestMemory) {
 	var memory []wire.ShardMemory
 	wanted := make(map[model.Shard]bool, len(shards))
 	for _, st := range shards {
 		wanted[st.Shard] = true
-		past := s.past[st.Shard]
-		m := wire.ShardMemory{ShardTerm: st, ExactFrom: past.exactFrom}
-		if past.lostAt > 0 {
-			m.PastAge = max(s.env.Now()-past.lostAt, 1)
+		history := s.history[st.Shard]
+		m := wire.ShardMemory{ShardTerm: st, ExactFrom: history.exactFrom}
+		if history.lostAt > 0 {
+			m.PastAge = max(s.env.Now()-history.lostAt, 1)
 		}
 		memory = append(memory, m)
 	}
 	var entries []wire.RequestMemory
-	for _, id := range s.sortedEntries() {
+	for _, id := range s.sortedEntryIDs() {
 		if e := s.entries[id]; wanted[e.shard] {
 			entries = append(entries, s.exportEntry(e))
 		}
@@ -49,7 +49,7 @@
 	m := wire.RequestMemory{
 		ID: e.id, Task: e.task, Fingerprint: e.fingerprint, Phase: uint8(e.phase),
 		Holder: e.holder, Attempt: e.attempt, Run: e.run, Canceled: e.canceled,
-		BornAge: now - e.born, WaitAge: now - e.receivedAt, Remaining: e.deadline - now,
+		BornAge: now - e.firstReceivedAt, WaitAge: now - e.receivedAt, Remaining: e.deadline - now,
 		Worker: e.worker, Answer: e.answer,
 	}
 	m.Task.ID = e.base
@@ -60,7 +60,7 @@
 	return m
 }
 
-// Remembered returns how many requests of a shard are remembered here.
+// Remembered returns the number of a shard's requests recorded here.
 func (s *Service) Remembered(shard model.Shard) int {
 	n := 0
 	for _, e := range s.entries {
@@ -71,71 +71,74 @@
 	return n
 }
 
-// Import keeps memory until the log hands its shards over.
+// Import keeps records received from a shard's owner until the log reports the
+// handover of the shard.
 func (s *Service) Import(m wire.Memory) {
 	for _, shard := range m.Shards {
-		s.held[shard.ShardTerm.Shard] = &heldMemory{shard: shard, at: s.env.Now()}
+		s.imports[shard.ShardTerm.Shard] = &pendingImport{shard: shard, receivedAt: s.env.Now()}
 	}
 	for _, r := range m.Entries {
-		if h, ok := s.held[model.ShardOfTask(r.Task.ID)]; ok {
-			h.entries = append(h.entries, r)
+		if p, ok := s.imports[model.ShardOfTask(r.Task.ID)]; ok {
+			p.entries = append(p.entries, r)
 		}
 	}
 }
 
-// OnShardMoved takes over or lets go the memory of a shard's requests.
+// OnShardMoved takes over or drops the records of a shard's requests.
 func (s *Service) OnShardMoved(m service.ShardMove) {
-	held := s.held[m.Shard]
-	delete(s.held, m.Shard)
+	imported := s.imports[m.Shard]
+	delete(s.imports, m.Shard)
 	switch {
 	case m.After == s.env.Owner() && m.Before == s.env.Owner() && !m.Gap:
-		// A new term of the same owner: nothing is lost.
+		// A new term of the same owner: no records are lost.
 	case m.After == s.env.Owner():
-		s.gain(m, held)
+		s.gainShard(m, imported)
 	case m.Before == s.env.Owner():
-		s.lose(m.Shard)
+		s.loseShard(m.Shard)
 	}
 }
 
-func (s *Service) gain(m service.ShardMove, held *heldMemory) {
-	past := shardPast{exactFrom: m.Term}
+// gainShard starts to own a shard. It imports the previous owner's records if the
+// handover was planned and they arrived; otherwise they count as lost.
+func (s *Service) gainShard(m service.ShardMove, imported *pendingImport) {
+	history := shardHistory{exactFrom: m.Term}
 	if m.OldTerm != 0 {
-		past.lostAt = max(s.env.Now(), 1)
+		history.lostAt = max(s.env.Now(), 1)
 	}
-	complete := m.Planned && held != nil && held.shard.ShardTerm.Term == m.OldTerm
+	complete := m.Planned && imported != nil && imported.shard.ShardTerm.Term == m.OldTerm
 	if complete {
-		past = shardPast{exactFrom: held.shard.ExactFrom}
-		if held.shard.PastAge > 0 {
-			past.lostAt = max(held.at-held.shard.PastAge, 1)
+		history = shardHistory{exactFrom: imported.shard.ExactFrom}
+		if imported.shard.PastAge > 0 {
+			history.lostAt = max(imported.receivedAt-imported.shard.PastAge, 1)
 		}
 	}
-	s.past[m.Shard] = past
+	s.history[m.Shard] = history
 	if !complete {
 		return
 	}
-	for _, r := range held.entries {
-		s.importEntry(m.Shard, r, held.at)
+	for _, r := range imported.entries {
+		s.importEntry(m.Shard, r, imported.receivedAt)
 	}
 }
 
-func (s *Service) importEntry(shard model.Shard, r wire.RequestMemory, at time.Duration) {
+func (s *Service) importEntry(shard model.Shard, r wire.RequestMemory, importedAt time.Duration) {
 	if _, known := s.entries[r.Task.ID]; known {
 		return
 	}
 	e := &entry{
 		id: r.ID, task: r.Task, base: r.Task.ID, shard: shard, fingerprint: r.Fingerprint,
 		phase: phaseLocating, holder: r.Holder, attempt: r.Attempt, run: r.Run, canceled: r.Canceled,
-		born: at - r.BornAge, receivedAt: at - r.WaitAge, deadline: at + r.Remaining, worker: r.Worker,
+		firstReceivedAt: importedAt - r.BornAge, receivedAt: importedAt - r.WaitAge, deadline: importedAt + r.Remaining, worker: r.Worker,
 	}
 	s.entries[e.base] = e
 	if e.task.Kind == model.KindGang && phase(r.Phase) != phaseFinished {
-		return // its job joins it to its gang, which finds it again
+		return // AddTask joins it to its gang and locates it
 	}
 	switch phase(r.Phase) {
 	case phaseFinished:
 		e.phase = phaseFinished
-		e.answer, e.finishedAt = r.Answer, at-r.EndAge
-		s.ended = append(s.ended, e)
+		e.answer, e.finishedAt = r.Answer, importedAt-r.EndAge
+		s.finished = append(s.finished, e)
 		if e.task.Job != "" && e.task.Kind != model.KindGang {
 			s.jobs.TaskEnded(e.task, e.answer)
 		}
@@ -152,8 +155,9 @@
 	}
 }
 
-func (s *Service) lose(shard model.Shard) {
-	s.loseGangs(shard)
+// loseShard removes all entries of a shard that this instance no longer owns.
+func (s *Service) loseShard(shard model.Shard) {
+	s.dropGangs(shard)
 	for id, e := range s.entries {
 		if e.shard == shard {
 			s.setPhase(e, phaseFinished)
--- a/internal/service/requests/requests.go
+++ b/internal/service/requests/requests.go
@@ -1,8 +1,8 @@
 // Package requests coordinates the requests whose shards this instance owns: it
-// remembers each by id, queues it for its team, dispatches its tasks to worker
-// holders and answers everyone who asks for it.
+// stores each by id, queues it for its team, dispatches its tasks to lease holders of
+// workers and replies to every caller that waits for it.
 //
-// A task is dispatched again only when it is certain that the dispatch before has
+// A task is dispatched again only when it is certain that the previous dispatch has
 // not started it and never will; see locate.go.
 package requests
 
@@ -26,22 +26,23 @@
 	"pollenbend/internal/wire"
 )
 
-// Ownership tells which shards are owned here.
+// Ownership returns the owners of shards.
 type Ownership interface {
 	Mine(model.Shard) (term uint64, ok bool)
 	Owner(model.Shard) (ownership.Slot, bool)
 }
 
-// Members tells who lives and what is free where.
+// Members returns the live instances and their latest heartbeats.
 type Members interface {
 	Live() []wire.Owner
 	IsLive(wire.Owner) bool
 	Member(model.InstanceID) (*membership.Member, bool)
-	// Majority reports whether most of the listed instances are heard.
+	// Majority reports whether this instance is in contact with more than half of
+	// the listed instances, itself included.
 	Majority() bool
 }
 
-// Ledger runs tasks on the workers held here.
+// Ledger starts and stops tasks on the workers held by this instance.
 type Ledger interface {
 	Dispatch(wire.Dispatch) wire.TaskState
 	Locate(wire.Locate) wire.Located
@@ -54,25 +55,26 @@
 	ReleaseHolds(wire.ReleaseHolds)
 }
 
-// Config describes services and teams.
+// Config provides the declared services and teams.
 type Config interface {
 	Service(name string) (model.Service, bool)
 	Teams() []model.Team
-	// Fresh reports whether the log, or a peer that reads it, was heard lately.
+	// Fresh reports whether this instance's reading of the log is recent, directly
+	// or through peers.
 	Fresh() bool
 }
 
-// Handover tells which shards are being handed over.
+// Handover reports which shards are being handed over to another owner.
 type Handover interface {
 	Frozen(model.Shard) bool
 }
 
-// Replier gives an answer to a caller at this instance.
+// Replier delivers an answer to a caller connected to this instance.
 type Replier interface {
 	OnReply(from wire.Owner, m wire.Reply)
 }
 
-// Service is the coordinator.
+// Service coordinates the requests of the shards owned here.
 type Service struct {
 	env       *event.Env
 	ownership Ownership
@@ -83,62 +85,63 @@
 	jobs      Jobs
 	handover  Handover
 
-	entries map[model.TaskID]*entry
-	open    map[model.TaskID]*entry // those without a final answer
-	ended   []*entry                // those with one, in the order of their ends
-	queue   *queue.Queue
-	rooms   map[model.InstanceID]*room
-	past    [model.Shards]shardPast
-	held    map[model.Shard]*heldMemory
-	locates map[uint64]*locate
-	locID   uint64
-	moved   bool // something happened that may let waiting tasks start
+	entries       map[model.TaskID]*entry
+	open          map[model.TaskID]*entry // entries without a final answer
+	finished      []*entry                // entries with a final answer, by time of finish
+	queue         *queue.Queue
+	freeEstimates map[model.InstanceID]*freeEstimate
+	history       [model.Shards]shardHistory
+	imports       map[model.Shard]*pendingImport
+	locates       map[uint64]*locate
+	lastLocateID  uint64
+	dispatchDue   bool // an event may allow waiting tasks to start
 
-	gangs      map[gangKey]*gang
-	gangsMoved bool // a gang may have something to do
-	holdID     uint64
+	gangs        map[gangKey]*gang
+	gangsChanged bool // a gang may need to be advanced
+	lastHoldID   uint64
 
-	backoffs []backoff
-	refusals map[refusal]time.Duration // until when a holder need not be asked
-	sharesAt time.Duration
+	backoffs          []backoff
+	refusedUntil      map[refusalKey]time.Duration // a holder is not asked again before this time
+	sharesRefreshedAt time.Duration
 }
 
-// room is what is believed free at another instance, from its last heartbeat less
-// what was sent there since.
-type room struct {
-	seq  uint64
+// freeEstimate is an estimate of the free resources on the workers of another
+// instance: the value in its last heartbeat minus the demand dispatched to it since.
+type freeEstimate struct {
+	seq  uint64 // sequence number of that heartbeat
 	free model.Resources
 }
 
 const (
-	maxEntries       = 200000
-	maxWaitingByTeam = 4096
-	maxRuns          = 3
-	// dispatchTimeout is how long a dispatch may go unanswered before its task
-	// is looked for.
+	maxEntries        = 200000
+	maxWaitingPerTeam = 4096
+	maxRuns           = 3
+	// dispatchTimeout is how long a dispatch may remain unanswered before its task
+	// is located.
 	dispatchTimeout = 2 * time.Second
-	retryAfter      = time.Second
+	// retryAfter is the delay that refused callers are asked to wait for.
+	retryAfter = time.Second
 )
 
-// New returns the coordinator.
+// New returns a coordinator without requests.
 func New(env *event.Env) *Service {
 	return &Service{
-		env:      env,
-		entries:  make(map[model.TaskID]*entry),
-		open:     make(map[model.TaskID]*entry),
-		queue:    queue.New(queue.Config{MaxWaiting: maxWaitingByTeam}),
-		rooms:    make(map[model.InstanceID]*room),
-		held:     make(map[model.Shard]*heldMemory),
-		locates:  make(map[uint64]*locate),
-		refusals: make(map[refusal]time.Duration),
-		gangs:    make(map[gangKey]*gang),
+		env:           env,
+		entries:       make(map[model.TaskID]*entry),
+		open:          make(map[model.TaskID]*entry),
+		queue:         queue.New(queue.Config{MaxWaiting: maxWaitingPerTeam}),
+		freeEstimates: make(map[model.InstanceID]*freeEstimate),
+		imports:       make(map[model.Shard]*pendingImport),
+		locates:       make(map[uint64]*locate),
+		refusedUntil:  make(map[refusalKey]time.Duration),
+		gangs:         make(map[gangKey]*gang),
 	}
 }
 
 // Name implements kernel.Service.
 func (s *Service) Name() string { return service.Requests }
 
-// Bind finds the services that this one works with.
+// Bind looks up the services that the coordinator depends on.
 func (s *Service) Bind(k *kernel.Kernel) (err error) {
 	if s.ownership, err = kernel.Find[Ownership](k, service.Ownership); err != nil {
 		return err
@@ -162,7 +165,7 @@
 	return err
 }
 
-// Serve takes a request from a gateway.
+// Serve handles a request forwarded by a gateway.
 func (s *Service) Serve(from wire.Owner, f wire.Forward) {
 	r := f.Request
 	shard := model.ShardOfRequest(f.Team, r.ID)
@@ -207,7 +210,8 @@
 	s.startLocate(e)
 }
 
-// join adds a caller to a request that is known already.
+// join adds a caller to an existing request, or replies at once if the request has
+// finished or the caller's request differs from it.
 func (s *Service) join(e *entry, w waiter, f wire.Forward) {
 	if e.fingerprint != 0 && e.fingerprint != fingerprint(f.Request) {
 		s.refuse(w.from, f, verdict.Refuse(verdict.CodeConflict, "the id was used for another request"))
@@ -217,14 +221,14 @@
 		s.reply(w, e.answer)
 		return
 	}
-	s.complete(e, f)
+	s.completeTask(e, f)
 	e.waiters = append(e.waiters, w)
 	e.deadline = max(e.deadline, w.deadline)
 }
 
-// complete gives an entry that was adopted from a task's state the task itself, so
-// that it can be run if it turns out never to have started.
-func (s *Service) complete(e *entry, f wire.Forward) {
+// completeTask sets the full task of an entry that was adopted from a task state, so
+// that the task can be run if it proves never to have started.
+func (s *Service) completeTask(e *entry, f wire.Forward) {
 	if e.fingerprint != 0 || e.task.Job != "" {
 		return
 	}
@@ -244,23 +248,23 @@
 	if len(s.entries) >= maxEntries {
 		return nil, verdict.Refuse(verdict.CodeOverloaded, "too many requests are remembered here").After(retryAfter)
 	}
-	if s.queue.Waiting(f.Team) >= maxWaitingByTeam {
-		return nil, verdict.Refuse(verdict.CodeOverloaded, "the team has %d requests waiting here", maxWaitingByTeam).After(retryAfter)
+	if s.queue.Waiting(f.Team) >= maxWaitingPerTeam {
+		return nil, verdict.Refuse(verdict.CodeOverloaded, "the team has %d requests waiting here", maxWaitingPerTeam).After(retryAfter)
 	}
 	t, refusal := s.buildTask(base, f)
 	if refusal != nil {
 		return nil, refusal
 	}
-	if !s.everFits(&t) {
+	if !s.fitsListedWorker(&t) {
 		return nil, verdict.Refuse(verdict.CodeNeverFits, "no listed worker could ever run this: demand %+v, selector %+v", t.Demand, t.Require)
 	}
 	return &entry{
 		id: f.Request.ID, task: t, base: base, shard: shard, run: 1,
-		fingerprint: fingerprint(f.Request), receivedAt: s.env.Now(), born: s.env.Now(),
+		fingerprint: fingerprint(f.Request), receivedAt: s.env.Now(), firstReceivedAt: s.env.Now(),
 	}, nil
 }
 
-// buildTask joins the caller's part of a task with what its service declares.
+// buildTask merges the caller's part of a task with the declaration of its service.
 func (s *Service) buildTask(base model.TaskID, f wire.Forward) (model.Task, *verdict.Error) {
 	t := f.Request.Task
 	t.ID, t.Team, t.Kind = base, f.Team, model.KindRequest
@@ -282,7 +286,7 @@
 	return t, nil
 }
 
-func (s *Service) everFits(t *model.Task) bool {
+func (s *Service) fitsListedWorker(t *model.Task) bool {
 	roster := s.ledger.Roster()
 	if len(roster) == 0 {
 		return true
@@ -317,8 +321,8 @@
 	s.reply(waiter{from: from, handle: f.Handle}, model.Refusal(f.Request.ID, e))
 }
 
-func (s *Service) stopAs(e *entry, mode platform.StopMode) {
-	c := wire.CancelTask{Task: e.taskOf(), Mode: mode}
+func (s *Service) stopWithMode(e *entry, mode platform.StopMode) {
+	c := wire.CancelTask{Task: e.runID(), Mode: mode}
 	if e.holder == s.env.Owner() {
 		s.ledger.Cancel(c)
 		return
@@ -328,8 +332,8 @@
 	}
 }
 
-// Waiting returns how many tasks of a team wait here.
+// Waiting returns the number of a team's tasks that wait in the queue here.
 func (s *Service) Waiting(team model.TeamID) int64 { return int64(s.queue.Waiting(team)) }
 
-// Busy returns how many requests here have no final answer yet.
+// Busy returns the number of requests here without a final answer.
 func (s *Service) Busy() int { return len(s.open) }
--- a/internal/service/requests/status.go
+++ b/internal/service/requests/status.go
@@ -15,7 +15,7 @@
 	}
 	e, ok := s.entries[model.TaskIDOf(f.Team, f.Request.ID, 0)]
 	if !ok {
-		s.refuse(from, f, s.unknown(f))
+		s.refuse(from, f, s.notFound(f))
 		return
 	}
 	if e.phase == phaseFinished {
@@ -24,14 +24,14 @@
 	}
 	a := model.Answer{ID: e.id, Verdict: verdict.Pending, Message: e.phase.String(), Worker: e.worker}
 	if f.Request.Why {
-		a.Body = s.why(e)
+		a.Body = s.explainWait(e)
 	}
 	s.reply(w, a)
 }
 
-// unknown tells about an id without an entry: "not run" only when that is
-// certain.
-func (s *Service) unknown(f wire.Forward) *verdict.Error {
+// notFound returns the answer for an id without an entry. The verdict is "not run"
+// only if that is certain.
+func (s *Service) notFound(f wire.Forward) *verdict.Error {
 	shard := model.ShardOfRequest(f.Team, f.Request.ID)
 	e := verdict.Refuse(verdict.CodeNotFound, "no request with this id is remembered")
 	if !s.neverSeen(f.Request.ID, shard) {
@@ -40,7 +40,7 @@
 	return e
 }
 
-// String names a phase as status answers show it.
+// String returns the phase as shown in status answers.
 func (p phase) String() string {
 	switch p {
 	case phaseLocating:
@@ -65,7 +65,7 @@
 	}
 	e, ok := s.entries[model.TaskIDOf(f.Team, f.Request.ID, 0)]
 	if !ok {
-		s.refuse(from, f, s.unknown(f))
+		s.refuse(from, f, s.notFound(f))
 		return
 	}
 	w := waiter{from: from, handle: f.Handle, deadline: s.env.Now() + f.Request.Timeout}
@@ -74,7 +74,7 @@
 		s.reply(w, e.answer)
 	case phaseWaiting, phaseBackoff:
 		e.waiters = append(e.waiters, w)
-		s.finish(e, s.unstarted(e, verdict.CodeCanceled, "canceled before it was started"))
+		s.finish(e, s.notStarted(e, verdict.CodeCanceled, "canceled before it was started"))
 	default:
 		e.canceled = true
 		e.waiters = append(e.waiters, w)
@@ -82,4 +82,4 @@
 	}
 }
 
-func (s *Service) stop(e *entry) { s.stopAs(e, platform.StopKill) }
+func (s *Service) stop(e *entry) { s.stopWithMode(e, platform.StopKill) }
