--- a/internal/service/gateway/gateway.go
+++ b/internal/service/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway takes callers' requests at the instance they reached: it checks
-// the key, routes each request to the owner of its shard, and gives the caller
-// exactly one final answer.
+// Package gateway accepts requests from the callers connected to this instance: it
+// checks the key, routes each request to the owner of its shard, and returns exactly
+// one final answer to the caller.
 package gateway
 
 import (
@@ -19,9 +19,10 @@
 	"pollenbend/internal/wire"
 )
 
-// Config checks keys and applies changes.
+// Config authorizes keys and applies changes to the declarations.
 type Config interface {
-	// Authorize returns the team for which work may be taken from a queue.
+	// Authorize returns the team for which a caller may submit work to a queue, and
+	// the name of the key. Only an open queue accepts work without a key.
 	Authorize(key, queue string) (model.TeamID, string, *verdict.Error)
 	AuthorizeOperator(key string) (string, *verdict.Error)
 	Fresh() bool
@@ -29,14 +30,14 @@
 	Document() (model.Declarations, uint64)
 }
 
-// Ownership routes requests.
+// Ownership returns the owners of shards.
 type Ownership interface {
 	Owner(model.Shard) (ownership.Slot, bool)
 	Owned() []wire.ShardTerm
 	Slots() [model.Shards]ownership.Slot
 }
 
-// Members tells who lives.
+// Members reports which instances are live.
 type Members interface {
 	IsLive(wire.Owner) bool
 	Live() []wire.Owner
@@ -48,14 +49,14 @@
 	Serve(from wire.Owner, f wire.Forward)
 }
 
-// Ledger tells about workers here.
+// Ledger describes the workers held by this instance.
 type Ledger interface {
 	Free() model.Resources
 	Holding() []model.WorkerID
 	Coverage() wire.Coverage
 }
 
-// Service is the gateway.
+// Service routes requests and tracks those that have no final answer.
 type Service struct {
 	env         *event.Env
 	config      Config
@@ -64,9 +65,9 @@
 	coordinator Coordinator
 	ledger      Ledger
 
-	pending map[uint64]*pending
-	dues    dueHeap
-	serial  uint64
+	pending    map[uint64]*pending
+	timers     timerHeap
+	lastSerial uint64
 }
 
 // pending is a caller's request that has no final answer yet.
@@ -77,21 +78,23 @@
 	sent     bool // it may have reached an owner
 	retryAt  time.Duration
 	deadline time.Duration
-	moves    int
+	reroutes int
 }
 
 const (
-	// answerGrace is how much longer than the coordinator the gateway waits, so
-	// that the coordinator's better informed verdict comes first.
-	answerGrace = 300 * time.Millisecond
-	moveRetry   = 100 * time.Millisecond
-	maxMoves    = 20
-	noOwnerWait = time.Second
-	maxPending  = 20000
-	maxTickets  = 1000
+	// answerGracePeriod is how much longer than the coordinator the gateway waits,
+	// so that the coordinator's more precise verdict arrives first.
+	answerGracePeriod = 300 * time.Millisecond
+	// rerouteDelay is the delay before a request is routed again.
+	rerouteDelay = 100 * time.Millisecond
+	maxReroutes  = 20
+	// retryAfter is the delay that refused callers are asked to wait for.
+	retryAfter = time.Second
+	maxPending = 20000
+	maxTickets = 1000
 )
 
-// New returns the gateway.
+// New returns a gateway without requests.
 func New(env *event.Env) *Service {
 	return &Service{env: env, pending: make(map[uint64]*pending)}
 }
@@ -99,7 +102,7 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return service.Gateway }
 
-// Bind finds the services that this one works with.
+// Bind looks up the services that the gateway depends on.
 func (s *Service) Bind(k *kernel.Kernel) (err error) {
 	if s.config, err = kernel.Find[Config](k, service.Config); err != nil {
 		return err
@@ -117,32 +120,32 @@
 	return err
 }
 
-// OnRequest takes a caller's request.
+// OnRequest handles a caller's request.
 func (s *Service) OnRequest(handle uint64, r model.Request) {
-	if refusal := s.take(handle, r); refusal != nil {
+	if refusal := s.accept(handle, r); refusal != nil {
 		s.respond(handle, model.Refusal(r.ID, refusal))
 	}
 }
 
-func (s *Service) take(handle uint64, r model.Request) *verdict.Error {
+func (s *Service) accept(handle uint64, r model.Request) *verdict.Error {
 	if len(s.pending) >= maxPending {
 		return verdict.Refuse(verdict.CodeOverloaded, "this instance has %d requests open", maxPending).After(time.Second)
 	}
 	if !s.config.Fresh() {
-		return verdict.Refuse(verdict.CodeUnavailable, "this instance is cut off from the log and its peers").After(noOwnerWait)
+		return verdict.Refuse(verdict.CodeUnavailable, "this instance is cut off from the log and its peers").After(retryAfter)
 	}
 	switch r.Op {
 	case model.OpCall, model.OpSubmit, model.OpStatus, model.OpCancel:
-		return s.takeWork(handle, r)
+		return s.acceptWork(handle, r)
 	case model.OpTicket:
 		return s.issueTickets(handle, r)
 	case model.OpApply, model.OpConfig, model.OpCell, model.OpTimeline, model.OpDrainSelf:
-		return s.takeOperator(handle, r)
+		return s.serveOperator(handle, r)
 	}
 	return verdict.Refuse(verdict.CodeBadRequest, "operation %q is not known", r.Op)
 }
 
-func (s *Service) takeWork(handle uint64, r model.Request) *verdict.Error {
+func (s *Service) acceptWork(handle uint64, r model.Request) *verdict.Error {
 	team, keyName, refusal := s.config.Authorize(r.Key, r.Queue)
 	if refusal != nil {
 		return refusal
@@ -152,9 +155,9 @@
 		if !takesWork {
 			return verdict.Refuse(verdict.CodeBadRequest, "an id is required")
 		}
-		id, ok := s.mint()
+		id, ok := s.newTicket()
 		if !ok {
-			return verdict.Refuse(verdict.CodeUnavailable, "no shard is owned yet").After(noOwnerWait)
+			return verdict.Refuse(verdict.CodeUnavailable, "no shard is owned yet").After(retryAfter)
 		}
 		r.ID = id
 	}
@@ -162,10 +165,10 @@
 	p := &pending{
 		forward:  wire.Forward{Handle: handle, Team: team, KeyName: keyName, Request: r},
 		shard:    model.ShardOfRequest(team, r.ID),
-		deadline: s.env.Now() + s.timeout(r) + answerGrace,
+		deadline: s.env.Now() + s.timeout(r) + answerGracePeriod,
 	}
 	s.pending[handle] = p
-	heap.Push(&s.dues, due{p.deadline, handle})
+	heap.Push(&s.timers, timer{p.deadline, handle})
 	s.route(handle, p)
 	return nil
 }
@@ -177,27 +180,27 @@
 	return min(r.Timeout, s.env.Timing.RequestTimeout)
 }
 
-// mint returns a new ticket of a shard owned here, or of any owned shard when
-// this instance owns none.
-func (s *Service) mint() (string, bool) {
+// newTicket returns a new ticket for a shard owned here, or for any shard with a live
+// owner if this instance owns none. It returns false if there is no such shard.
+func (s *Service) newTicket() (string, bool) {
 	owned := s.ownership.Owned()
 	if len(owned) == 0 {
-		for i, slot := range s.ownership.Slots() {
-			if slot.Term != 0 && s.members.IsLive(slot.Owner) {
-				owned = append(owned, wire.ShardTerm{Shard: model.Shard(i), Term: slot.Term})
+		for i, shardOwner := range s.ownership.Slots() {
+			if shardOwner.Term != 0 && s.members.IsLive(shardOwner.Owner) {
+				owned = append(owned, wire.ShardTerm{Shard: model.Shard(i), Term: shardOwner.Term})
 			}
 		}
 	}
 	if len(owned) == 0 {
 		return "", false
 	}
-	s.serial++
-	st := owned[s.serial%uint64(len(owned))]
+	s.lastSerial++
+	st := owned[s.lastSerial%uint64(len(owned))]
 	var random [6]byte
 	for i := range random {
 		random[i] = byte(s.env.Rand().Uint32())
 	}
-	serial := fmt.Sprintf("%x.%x.%s", uint64(s.env.Self.Incarnation), s.serial, hex.EncodeToString(random[:]))
+	serial := fmt.Sprintf("%x.%x.%s", uint64(s.env.Self.Incarnation), s.lastSerial, hex.EncodeToString(random[:]))
 	return model.Ticket{Shard: st.Shard, Term: st.Term, Serial: serial}.String(), true
 }
 
@@ -210,9 +213,9 @@
 	}
 	a := model.Answer{Verdict: verdict.Done}
 	for range r.Count {
-		id, ok := s.mint()
+		id, ok := s.newTicket()
 		if !ok {
-			return verdict.Refuse(verdict.CodeUnavailable, "no shard is owned yet").After(noOwnerWait)
+			return verdict.Refuse(verdict.CodeUnavailable, "no shard is owned yet").After(retryAfter)
 		}
 		a.Tickets = append(a.Tickets, id)
 	}
@@ -220,31 +223,31 @@
 	return nil
 }
 
-// route hands a request to the owner of its shard. A request that certainly was
-// never handed over is refused at once when there is no owner to take it.
+// route sends a request to the owner of its shard. If the shard has no live owner, a
+// request that was never sent is refused at once and any other is retried.
 func (s *Service) route(handle uint64, p *pending) {
-	slot, ok := s.ownership.Owner(p.shard)
-	if !ok || !s.members.IsLive(slot.Owner) {
+	shardOwner, ok := s.ownership.Owner(p.shard)
+	if !ok || !s.members.IsLive(shardOwner.Owner) {
 		if !p.sent {
 			s.finish(handle, model.Refusal(p.forward.Request.ID, verdict.Refuse(verdict.CodeUnavailable,
 				"shard %d of the request has no reachable owner: %q in life %d, term %d", p.shard,
-				slot.Owner.Instance, slot.Owner.Incarnation, slot.Term).After(noOwnerWait)))
+				shardOwner.Owner.Instance, shardOwner.Owner.Incarnation, shardOwner.Term).After(retryAfter)))
 			return
 		}
-		s.retry(handle, p, s.env.Now()+moveRetry)
+		s.scheduleRetry(handle, p, s.env.Now()+rerouteDelay)
 		return
 	}
-	p.sentTo, p.sent, p.retryAt = slot.Owner, true, 0
+	p.sentTo, p.sent, p.retryAt = shardOwner.Owner, true, 0
 	f := p.forward
-	f.Request.Timeout = p.deadline - answerGrace - s.env.Now()
-	if slot.Owner == s.env.Owner() {
+	f.Request.Timeout = p.deadline - answerGracePeriod - s.env.Now()
+	if shardOwner.Owner == s.env.Owner() {
 		s.coordinator.Serve(s.env.Owner(), f)
 		return
 	}
-	s.env.Send(slot.Owner.Instance, f)
+	s.env.Send(shardOwner.Owner.Instance, f)
 }
 
-// OnMessage takes answers from coordinators.
+// OnMessage handles replies from coordinators and requests forwarded by other gateways.
 func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
 	switch m := m.(type) {
 	case wire.Reply:
@@ -254,43 +257,45 @@
 	}
 }
 
-// OnReply passes a coordinator's answer on. An answer to another request than the
-// handle's, or from an instance that was not asked, is dropped.
+// OnReply returns a coordinator's answer to the caller. It drops an answer to a
+// request other than the handle's, or from an instance other than the one that the
+// request was last sent to.
 func (s *Service) OnReply(from wire.Owner, m wire.Reply) {
 	p, ok := s.pending[m.Handle]
 	if !ok || p.sentTo != from || m.Answer.ID != p.forward.Request.ID {
 		return
 	}
-	if m.Answer.Code == verdict.CodeStaleAuthority && p.moves < maxMoves {
-		p.moves++
-		s.retry(m.Handle, p, s.env.Now()+moveRetry)
+	if m.Answer.Code == verdict.CodeStaleAuthority && p.reroutes < maxReroutes {
+		p.reroutes++
+		s.scheduleRetry(m.Handle, p, s.env.Now()+rerouteDelay)
 		return
 	}
 	s.finish(m.Handle, m.Answer)
 }
 
-// OnPeerDown asks again, by id, for what was sent over the lost connection.
+// OnPeerDown schedules a retry, under the same id, of the requests that were sent over
+// a lost connection.
 func (s *Service) OnPeerDown(peer wire.Owner) {
 	for handle, p := range s.pending {
 		if p.sentTo == peer {
-			s.retry(handle, p, s.env.Now()+moveRetry)
+			s.scheduleRetry(handle, p, s.env.Now()+rerouteDelay)
 		}
 	}
 }
 
-// OnShardMoved asks the new owner for what the one before had not answered.
+// OnShardMoved routes unanswered requests of the shard to its new owner.
 func (s *Service) OnShardMoved(m service.ShardMove) {
 	for handle, p := range s.pending {
 		if p.shard == m.Shard && p.sentTo != m.After {
-			s.retry(handle, p, s.env.Now())
+			s.scheduleRetry(handle, p, s.env.Now())
 		}
 	}
 }
 
-// OnTick retries routes and ends requests whose time is up.
+// OnTick retries requests that are due and ends those whose deadline has passed.
 func (s *Service) OnTick() {
 	now := s.env.Now()
-	for _, handle := range s.takeDue(now) {
+	for _, handle := range s.popDue(now) {
 		p := s.pending[handle]
 		switch {
 		case now >= p.deadline:
@@ -302,7 +307,7 @@
 }
 
 func (s *Service) expired(p *pending) model.Answer {
-	e := verdict.Refuse(verdict.CodeDeadline, "no answer from the owner of the request's shard in time").After(noOwnerWait)
+	e := verdict.Refuse(verdict.CodeDeadline, "no answer from the owner of the request's shard in time").After(retryAfter)
 	if p.sent {
 		e.Verdict = verdict.MayHaveRun
 		e.Code = verdict.CodeInDoubt
@@ -310,8 +315,8 @@
 	return model.Refusal(p.forward.Request.ID, e)
 }
 
-// OnRequestGone forgets a caller. Its request goes on: the caller may ask for it
-// by id.
+// OnRequestGone removes a caller that has disconnected. Its request continues, and the
+// caller may ask for it by id.
 func (s *Service) OnRequestGone(handle uint64) { delete(s.pending, handle) }
 
 func (s *Service) finish(handle uint64, a model.Answer) {
@@ -323,10 +328,10 @@
 	s.env.Emit(event.Respond{Handle: handle, Answer: a})
 }
 
-// Open returns how many callers wait for an answer.
+// Open returns the number of callers that wait for an answer.
 func (s *Service) Open() int { return len(s.pending) }
 
-func (s *Service) takeOperator(handle uint64, r model.Request) *verdict.Error {
+func (s *Service) serveOperator(handle uint64, r model.Request) *verdict.Error {
 	author, refusal := s.config.AuthorizeOperator(r.Key)
 	if refusal != nil {
 		return refusal
@@ -352,7 +357,7 @@
 	return nil
 }
 
-// Cell describes this instance's view of the cell.
+// Cell is this instance's view of the cell, sent to operators as JSON.
 type Cell struct {
 	Instance model.InstanceID         `json:"instance"`
 	Live     []wire.Owner             `json:"live"`
@@ -370,15 +375,16 @@
 		Workers: s.ledger.Holding(), Covered: len(s.ledger.Coverage().Workers), Free: s.ledger.Free(),
 		Leaving: s.members.Leaving(), Open: len(s.pending),
 	}
-	for _, slot := range s.ownership.Slots() {
-		if slot.Term != 0 {
-			c.Shards[slot.Owner.Instance]++
+	for _, shardOwner := range s.ownership.Slots() {
+		if shardOwner.Term != 0 {
+			c.Shards[shardOwner.Owner.Instance]++
 		}
 	}
 	return c
 }
 
-// Timeline is the part of the time line that one instance saw.
+// Timeline is the part of the timeline that one instance recorded, sent to operators
+// as JSON.
 type Timeline struct {
 	Instance    model.InstanceID  `json:"instance"`
 	Incarnation model.Incarnation `json:"incarnation"`
--- a/internal/service/gateway/timer.go
+++ b/internal/service/gateway/timer.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-// due is a time at which a pending request needs attention.
-type due struct {
+// timer is a time at which a pending request must be retried or ended.
+type timer struct {
 	at     time.Duration
 	handle uint64
 }
 
-// dueHeap is a heap of dues, the earliest first. Dues of requests that have ended
-// since stay in it until their time.
-type dueHeap []due
+// timerHeap is a heap of timers, the earliest first. Timers of requests that have
+// ended stay in it until they are due.
+type timerHeap []timer
 
 // Len implements heap.Interface.
-func (h dueHeap) Len() int { return len(h) }
+func (h timerHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (h dueHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 
 // Swap implements heap.Interface.
-func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *dueHeap) Push(x any) { *h = append(*h, x.(due)) }
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
 // Pop implements heap.Interface.
-func (h *dueHeap) Pop() any {
+func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
-	d := (*h)[last]
+	t := (*h)[last]
 	*h = (*h)[:last]
-	return d
+	return t
 }
 
-// retry sets when a request is routed again.
-func (s *Service) retry(handle uint64, p *pending, at time.Duration) {
+// scheduleRetry sets the time at which a request is routed again.
+func (s *Service) scheduleRetry(handle uint64, p *pending, at time.Duration) {
 	p.retryAt = at
-	heap.Push(&s.dues, due{at, handle})
+	heap.Push(&s.timers, timer{at, handle})
 }
 
-// takeDue removes what is due at now and returns the pending requests among it,
-// sorted.
-func (s *Service) takeDue(now time.Duration) []uint64 {
+// popDue removes the timers that are due at now and returns the sorted handles of
+// their requests that are still pending.
+func (s *Service) popDue(now time.Duration) []uint64 {
 	var handles []uint64
-	for len(s.dues) > 0 && s.dues[0].at <= now {
-		d := heap.Pop(&s.dues).(due)
-		if _, ok := s.pending[d.handle]; ok {
-			handles = append(handles, d.handle)
+	for len(s.timers) > 0 && s.timers[0].at <= now {
+		t := heap.Pop(&s.timers).(timer)
+		if _, ok := s.pending[t.handle]; ok {
+			handles = append(handles, t.handle)
 		}
 	}
 	slices.Sort(handles)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service names the services of the decision core and the small
-// interfaces through which the core drives them.
+// Package service defines the names of the decision core's services and the
+// interfaces through which the core calls them.
 package service
 
 import (
@@ -29,28 +29,28 @@
 // TickHandler is called on every tick.
 type TickHandler interface{ OnTick() }
 
-// LogHandler is called after every answer of the log, with its oldest and next
-// offsets.
+// LogHandler is called after every reply from the log, with the log's state.
 type LogHandler interface{ OnLog(LogState) }
 
-// LogState is what an answer of the log told of it. AskedAt is the time of the
-// question: the answer may have waited for this instance to wake from a pause.
+// LogState is the state of the log as of one reply: its oldest offset and the next one
+// to be assigned. AskedAt is the time of the read request on this instance's clock; the
+// reply may have been delayed by a pause of this instance.
 type LogState struct {
 	Oldest  uint64
 	Next    uint64
 	AskedAt time.Duration
 }
 
-// RecordHandler is called for every record in log order, the same on every
+// RecordHandler is called for every record in log order, which is the same on every
 // instance.
 type RecordHandler interface {
 	OnRecord(offset uint64, r wire.Record)
 }
 
-// EntryHandler is called after all records of a log entry.
+// EntryHandler is called after all records of a log entry have been applied.
 type EntryHandler interface{ OnEntry(offset uint64) }
 
-// AppendHandler is called when an append ends.
+// AppendHandler is called with the result of each append.
 type AppendHandler interface{ OnAppendDone(event.AppendDone) }
 
 // ListingHandler is called with each view of the instance list.
@@ -64,14 +64,16 @@
 // PeerDownHandler is called when a connection to a peer is lost.
 type PeerDownHandler interface{ OnPeerDown(peer wire.Owner) }
 
-// MemberHandler is called when an instance in one of its lives counts as dead.
+// MemberHandler is called when an incarnation of an instance is declared dead.
 type MemberHandler interface{ OnMemberDead(o wire.Owner) }
 
 // ShardHandler is called when a shard gets a new owner.
 type ShardHandler interface{ OnShardMoved(m ShardMove) }
 
-// ShardMove tells how a shard changed hands. Before.Instance is empty for a shard
-// that had no owner. Planned means that the owner before handed its memory over.
+// ShardMove describes a change of a shard's owner or term. Before.Instance is empty
+// for a shard that had no owner. Planned means that the previous owner handed over its
+// records. Gap means that changes in between were not observed, because the state was
+// restored from a snapshot.
 type ShardMove struct {
 	Shard   model.Shard
 	Before  wire.Owner
@@ -82,7 +84,7 @@
 	Gap     bool
 }
 
-// BeatContributor fills its part of the next heartbeat.
+// BeatContributor fills in its part of the next heartbeat.
 type BeatContributor interface{ FillBeat(*wire.Heartbeat) }
 
 // WorkerHandler is called with the results of worker commands.
@@ -91,7 +93,8 @@
 	OnStartDone(event.StartDone)
 }
 
-// CallerHandler is called with what callers do.
+// CallerHandler is called when a caller's request arrives and when the caller
+// disconnects.
 type CallerHandler interface {
 	OnRequest(handle uint64, r model.Request)
 	OnRequestGone(handle uint64)
@@ -103,9 +106,10 @@
 // StepEndHandler is called at the end of every step, after all other handlers.
 type StepEndHandler interface{ OnStepEnd() }
 
-// Snapshotter is a service whose state is a fold of the log. Snapshot encodes the
-// state; Restore replaces an older state by an encoded one and returns an error,
-// with nothing changed, when it cannot read it. Terms and versions never fall.
+// Snapshotter is a service whose state is the result of applying the log's records.
+// Snapshot encodes the state. Restore replaces an older state by an encoded one; if it
+// cannot decode it, it returns an error and changes nothing. Terms and versions never
+// decrease.
 type Snapshotter interface {
 	SnapshotName() string
 	Snapshot() []byte
