--- a/internal/service/gateway/gateway.go
+++ b/internal/service/gateway/gateway.go
@@ -24,9 +24,14 @@
 	// Authorize returns the team for which a caller may submit work to a queue, and
 	// the name of the key. Only an open queue accepts work without a key.
 	Authorize(key, queue string) (model.TeamID, string, *verdict.Error)
+	// AuthorizeOperator returns the name of an operator's key.
 	AuthorizeOperator(key string) (string, *verdict.Error)
+	// Fresh reports whether this instance's declarations are recent enough to accept
+	// work.
 	Fresh() bool
+	// Change appends a change to the log and responds to the handle with its result.
 	Change(handle uint64, author string, c model.Change)
+	// Document returns the current declarations and their version.
 	Document() (model.Declarations, uint64)
 }
 
@@ -41,6 +46,7 @@
 type Members interface {
 	IsLive(wire.Owner) bool
 	Live() []wire.Owner
+	// Leaving reports whether this instance is leaving the cell.
 	Leaving() bool
 }
 
--- a/internal/service/ledger/ledger.go
+++ b/internal/service/ledger/ledger.go
@@ -24,6 +24,7 @@
 
 // Ownership returns the terms and owners of shards.
 type Ownership interface {
+	// Mine returns the term of a shard that this instance owns.
 	Mine(model.Shard) (term uint64, ok bool)
 	Owner(model.Shard) (ownership.Slot, bool)
 }
@@ -35,6 +36,7 @@
 
 // Limits decides how many tasks of a team may start on the workers held here.
 type Limits interface {
+	// MayStart reports whether one more task of a team may start here.
 	MayStart(model.TeamID) bool
 	// Room returns how many of the wanted tasks of a team may start here.
 	Room(team model.TeamID, wanted int64) int64
--- a/internal/service/requests/requests.go
+++ b/internal/service/requests/requests.go
@@ -28,6 +28,7 @@
 
 // Ownership returns the owners of shards.
 type Ownership interface {
+	// Mine returns the term of a shard that this instance owns.
 	Mine(model.Shard) (term uint64, ok bool)
 	Owner(model.Shard) (ownership.Slot, bool)
 }
@@ -66,6 +67,8 @@
 
 // Handover reports which shards are being handed over to another owner.
 type Handover interface {
+	// Frozen reports whether a shard owned here takes no requests because its
+	// handover is in progress.
 	Frozen(model.Shard) bool
 }
 
