--- a/internal/declare/apply.go
+++ b/internal/declare/apply.go
@@ -7,25 +7,27 @@
 	"pollenbend/internal/model"
 )
 
-// maxDeleted is the number of deleted objects whose last version is kept.
+// maxDeleted is the maximum number of deleted objects whose last version is kept.
 const maxDeleted = 4096
 
-// maxChangeID is the greatest length of a change id in bytes.
-const maxChangeID = 128
+// maxChangeIDBytes is the maximum length of a change id.
+const maxChangeIDBytes = 128
 
-// Outcome says what became of a change.
+// Outcome is the decision about a change.
 type Outcome uint8
 
 // Outcomes of a change.
 const (
 	// Accepted means the change took effect.
 	Accepted Outcome = iota + 1
-	// Conflict means an object was changed after the change's base.
+	// Conflict means the change's base is too old for the objects that it
+	// touches, or it deletes an object that is not declared.
 	Conflict
-	// Invalid means the declarations would have had a fault.
+	// Invalid means the change is malformed, or would have made the declarations
+	// invalid or removed the last operator key.
 	Invalid
-	// Forgotten means the change lies before the fold's position and its
-	// outcome is no longer known. It has no effect now.
+	// Forgotten means the change precedes the last applied offset and its
+	// outcome is no longer stored. Applying it again has no effect.
 	Forgotten
 )
 
@@ -39,20 +41,21 @@
 	return fmt.Sprintf("outcome(%d)", uint8(o))
 }
 
-// Result is what became of a change. Offset is where it was settled first, and
-// Repeated is set if it had been settled before. A caller that hears Accepted
-// may take Offset as the version that its change made.
+// Result is the outcome of a change. Offset is the log offset at which the
+// outcome was first decided, and Repeated is set if it had been decided before.
+// If Outcome is Accepted, Offset is the version that the change produced.
 type Result struct {
 	Outcome   Outcome
 	Offset    uint64
 	Repeated  bool
 	Message   string
-	Withdrawn []Withdrawal // of keys that stopped working or lost their scope
+	Withdrawn []Withdrawal // keys that the change deleted or altered
 }
 
-// Apply folds the change at an offset of the log. A change takes effect if no
-// object that it touches was changed after c.Base and the declarations stay
-// valid. A change whose id is settled has no further effect.
+// Apply applies the change at an offset of the log to the state. A change takes
+// effect if no object that it touches was modified after c.Base and the
+// declarations stay valid. A change whose id already has a stored result has no
+// further effect.
 func (s *State) Apply(offset uint64, c model.Change) Result {
 	if r, ok := s.settled.get(c.ID); ok {
 		s.applied = max(s.applied, offset)
@@ -69,14 +72,14 @@
 		r.Withdrawn = s.accept(offset, c)
 	}
 	s.settled.add(c.ID, r)
-	s.secrets.passed(s.applied)
+	s.secrets.dropAppliedWithdrawals(s.applied)
 	return r
 }
 
-// Settled returns the result of the change with that id, if it is remembered.
+// Settled returns the result of the change with that id, if it is still stored.
 func (s *State) Settled(id string) (Result, bool) { return s.settled.get(id) }
 
-// decide finds the outcome of a change without applying it.
+// decide returns the outcome of a change without applying it.
 func (s *State) decide(c model.Change) Result {
 	if message := s.malformed(c); message != "" {
 		return Result{Outcome: Invalid, Message: message}
@@ -84,22 +87,23 @@
 	if message := s.conflict(c); message != "" {
 		return Result{Outcome: Conflict, Message: message}
 	}
-	after := s.after(c)
+	after := s.declarationsAfter(c)
 	if len(Validate(after)) > 0 {
-		// Sorted, the first problem is the same on every instance.
-		return Result{Outcome: Invalid, Message: Validate(byName(after))[0].String()}
+		// Maps have no fixed order. Sorting makes every instance report the same
+		// first problem.
+		return Result{Outcome: Invalid, Message: Validate(sortByName(after))[0].String()}
 	}
-	if s.HasOperator() && !slices.ContainsFunc(after.Keys, isOperator) {
+	if s.HasOperator() && !slices.ContainsFunc(after.Keys, isOperatorKey) {
 		return Result{Outcome: Invalid, Message: "expected a key of scope operator to remain"}
 	}
 	return Result{Outcome: Accepted}
 }
 
-// malformed says what is wrong with the change itself.
+// malformed describes what is wrong with the change itself, or returns "".
 func (s *State) malformed(c model.Change) string {
 	switch {
-	case c.ID == "" || len(c.ID) > maxChangeID:
-		return fmt.Sprintf("expected a change id of 1 to %d bytes", maxChangeID)
+	case c.ID == "" || len(c.ID) > maxChangeIDBytes:
+		return fmt.Sprintf("expected a change id of 1 to %d bytes", maxChangeIDBytes)
 	case c.Base > s.version:
 		return fmt.Sprintf("expected a base of at most version %d, got %d", s.version, c.Base)
 	case IsEmpty(c):
@@ -115,7 +119,8 @@
 	return ""
 }
 
-// conflict names the first touched object that changed after the base.
+// conflict describes the first reason why the change conflicts with the state, or
+// returns "".
 func (s *State) conflict(c model.Change) string {
 	for _, ref := range Touched(c) {
 		if v := s.modified[ref]; v > c.Base {
@@ -133,28 +138,29 @@
 	return ""
 }
 
-// after returns the declarations as they would be with the change, unsorted.
-func (s *State) after(c model.Change) model.Declarations {
+// declarationsAfter returns the declarations that would result from the change,
+// unsorted.
+func (s *State) declarationsAfter(c model.Change) model.Declarations {
 	touched := map[model.ObjectRef]bool{}
 	for _, ref := range Touched(c) {
 		touched[ref] = true
 	}
-	stays := func(kind model.ObjectKind, name string) bool {
+	untouched := func(kind model.ObjectKind, name string) bool {
 		return !touched[model.ObjectRef{Kind: kind, Name: name}]
 	}
 	d := model.Declarations{
-		Teams:    values(s.teams, func(id model.TeamID) bool { return stays(model.ObjectTeam, string(id)) }),
-		Keys:     values(s.keys, func(name string) bool { return stays(model.ObjectKey, name) }),
-		Queues:   values(s.queues, func(name string) bool { return stays(model.ObjectQueue, name) }),
-		Services: values(s.services, func(name string) bool { return stays(model.ObjectService, name) }),
-		Policies: values(s.policies, func(name string) bool { return stays(model.ObjectPolicy, name) }),
+		Teams:    filterValues(s.teams, func(id model.TeamID) bool { return untouched(model.ObjectTeam, string(id)) }),
+		Keys:     filterValues(s.keys, func(name string) bool { return untouched(model.ObjectKey, name) }),
+		Queues:   filterValues(s.queues, func(name string) bool { return untouched(model.ObjectQueue, name) }),
+		Services: filterValues(s.services, func(name string) bool { return untouched(model.ObjectService, name) }),
+		Policies: filterValues(s.policies, func(name string) bool { return untouched(model.ObjectPolicy, name) }),
 	}
 	return merge(d, c.Put)
 }
 
 // accept applies a valid change and returns the keys it withdrew.
 func (s *State) accept(offset uint64, c model.Change) []Withdrawal {
-	withdrawn := s.withdrawnBy(offset, c)
+	withdrawn := s.withdrawals(offset, c)
 	for _, ref := range c.Delete {
 		s.remove(ref)
 	}
@@ -163,16 +169,16 @@
 	for _, ref := range Touched(c) {
 		s.modified[ref] = offset
 	}
-	if slices.ContainsFunc(Touched(c), isPolicy) {
+	if slices.ContainsFunc(Touched(c), isPolicyRef) {
 		s.indexPolicies()
 	}
-	s.forgetDeleted(c)
+	s.trackDeleted(c)
 	return withdrawn
 }
 
-// forgetDeleted keeps the list of deleted objects and drops the oldest beyond
-// maxDeleted.
-func (s *State) forgetDeleted(c model.Change) {
+// trackDeleted updates the list of deleted objects and drops the oldest beyond
+// maxDeleted. Changes with a base older than a dropped deletion are conflicts.
+func (s *State) trackDeleted(c model.Change) {
 	put := map[model.ObjectRef]bool{}
 	for _, ref := range Refs(c.Put) {
 		put[ref.ObjectRef] = true
--- a/internal/declare/bench_test.go
+++ b/internal/declare/bench_test.go
@@ -7,8 +7,8 @@
 	"pollenbend/internal/model"
 )
 
-// fleet declares n teams, each with a key, a queue and a service.
-func fleet(n int) model.Declarations {
+// declareTeams returns declarations of n teams, each with a key, a queue and a service.
+func declareTeams(n int) model.Declarations {
 	var d model.Declarations
 	for i := range n {
 		id := model.TeamID(fmt.Sprintf("team-%04d", i))
@@ -28,16 +28,16 @@
 
 const objectsPerTeam = 4
 
-// BenchmarkCapacityConfiguration folds changes of one team into declarations of
+// BenchmarkCapacityConfiguration applies changes of one team to declarations of
 // several sizes, and reports the bytes of a change and of a snapshot per object
 // and per settled change.
 func BenchmarkCapacityConfiguration(b *testing.B) {
 	for _, teams := range []int{85, 170, 340} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
 			s := NewState()
-			s.Apply(1, model.Change{ID: "all", Put: fleet(teams)})
+			s.Apply(1, model.Change{ID: "all", Put: declareTeams(teams)})
 			snapshotBytes := len(s.Snapshot())
-			c := model.Change{Put: fleet(1), Author: "operator"}
+			c := model.Change{Put: declareTeams(1), Author: "operator"}
 			c.ID = fmt.Sprintf("%032d", 0)
 			changeBytes := len(mustEncode(c))
 			b.ResetTimer()
@@ -58,15 +58,15 @@
 	}
 }
 
-// BenchmarkAuthenticate finds a key among several numbers of them.
+// BenchmarkAuthenticate looks up one key among different numbers of keys.
 func BenchmarkAuthenticate(b *testing.B) {
 	for _, teams := range []int{170, 1700} {
 		b.Run(fmt.Sprintf("keys=%d", teams), func(b *testing.B) {
 			s := NewState()
-			s.Apply(1, model.Change{ID: "all", Put: fleet(teams)})
+			s.Apply(1, model.Change{ID: "all", Put: declareTeams(teams)})
 			for b.Loop() {
 				if _, ok := s.Authenticate("team-0007"); !ok {
-					b.Fatal("refused")
+					b.Fatal("a declared key was refused")
 				}
 			}
 		})
--- a/internal/declare/diff.go
+++ b/internal/declare/diff.go
@@ -12,26 +12,26 @@
 // Diff returns the smallest change that turns before into after. The caller
 // sets its ID, Base and Author.
 func Diff(before, after model.Declarations) model.Change {
-	was, is := objectsOf(before), objectsOf(after)
+	oldObjects, newObjects := splitObjects(before), splitObjects(after)
 	var c model.Change
 	for _, ref := range Refs(after) {
-		old, existed := was[ref.ObjectRef]
-		if object := is[ref.ObjectRef]; !existed || !object.equal(old) {
+		old, existed := oldObjects[ref.ObjectRef]
+		if object := newObjects[ref.ObjectRef]; !existed || !object.equal(old) {
 			c.Put = merge(c.Put, object.Declarations)
 		}
 	}
 	for _, ref := range Refs(before) {
-		if _, stays := is[ref.ObjectRef]; !stays {
+		if _, exists := newObjects[ref.ObjectRef]; !exists {
 			c.Delete = append(c.Delete, ref.ObjectRef)
 		}
 	}
 	return c
 }
 
-// IsEmpty reports whether a change touches nothing.
+// IsEmpty reports whether a change puts and deletes no objects.
 func IsEmpty(c model.Change) bool { return len(c.Delete) == 0 && len(Refs(c.Put)) == 0 }
 
-// Touched names every object that a change puts or deletes.
+// Touched returns references to every object that a change puts or deletes.
 func Touched(c model.Change) []model.ObjectRef {
 	refs := slices.Clone(c.Delete)
 	for _, ref := range Refs(c.Put) {
@@ -40,20 +40,20 @@
 	return refs
 }
 
-// object is a declared object, held as declarations with just that one.
+// object is one declared object, stored as declarations that hold only it.
 type object struct{ model.Declarations }
 
-// objectsOf splits d into its objects.
-func objectsOf(d model.Declarations) map[model.ObjectRef]object {
+// splitObjects returns the objects of d by reference.
+func splitObjects(d model.Declarations) map[model.ObjectRef]object {
 	objects := map[model.ObjectRef]object{}
 	for _, ref := range Refs(d) {
-		objects[ref.ObjectRef] = object{pick(d, ref)}
+		objects[ref.ObjectRef] = object{singleObject(d, ref)}
 	}
 	return objects
 }
 
-// pick returns the declarations that hold only the object at ref.
-func pick(d model.Declarations, ref IndexedRef) model.Declarations {
+// singleObject returns the declarations that hold only the object at ref.
+func singleObject(d model.Declarations, ref IndexedRef) model.Declarations {
 	i := ref.Index
 	switch ref.Kind {
 	case model.ObjectTeam:
@@ -68,19 +68,20 @@
 	return model.Declarations{Policies: d.Policies[i : i+1 : i+1]}
 }
 
-// equal compares by the encoding, so that nil and empty lists are the same.
+// equal compares the encodings, so that nil and empty lists are equal.
 func (o object) equal(other object) bool {
 	return bytes.Equal(mustEncode(o.Declarations), mustEncode(other.Declarations))
 }
 
-// Render describes a change to the declarations before it: a line "+", "~" or
-// "-" per object, and under a changed object the lines that differ.
+// Render describes a change to the declarations in before: one line per object,
+// marked "+" (added), "~" (modified) or "-" (deleted), and below an added or
+// modified object the lines that differ.
 func Render(before model.Declarations, c model.Change) string {
-	was, puts := objectsOf(before), objectsOf(c.Put)
+	oldObjects, putObjects := splitObjects(before), splitObjects(c.Put)
 	var b strings.Builder
 	for _, ref := range Refs(c.Put) {
-		old, existed := was[ref.ObjectRef]
-		renderPut(&b, ref.ObjectRef, old.lines(), puts[ref.ObjectRef].lines(), existed)
+		old, existed := oldObjects[ref.ObjectRef]
+		renderPut(&b, ref.ObjectRef, old.lines(), putObjects[ref.ObjectRef].lines(), existed)
 	}
 	for _, ref := range c.Delete {
 		fmt.Fprintf(&b, "- %s %s\n", ref.Kind, ref.Name)
@@ -88,18 +89,18 @@
 	return b.String()
 }
 
-func renderPut(b *strings.Builder, ref model.ObjectRef, old, now []string, existed bool) {
+func renderPut(b *strings.Builder, ref model.ObjectRef, old, updated []string, existed bool) {
 	mark := "+"
 	if existed {
 		mark = "~"
 	}
 	fmt.Fprintf(b, "%s %s %s\n", mark, ref.Kind, ref.Name)
 	for _, line := range old {
-		if !slices.Contains(now, line) {
+		if !slices.Contains(updated, line) {
 			fmt.Fprintf(b, "    - %s\n", line)
 		}
 	}
-	for _, line := range now {
+	for _, line := range updated {
 		if !slices.Contains(old, line) {
 			fmt.Fprintf(b, "    + %s\n", line)
 		}
--- a/internal/declare/file.go
+++ b/internal/declare/file.go
@@ -1,5 +1,5 @@
-// Package declare reads declarations from files, compares them, and folds
-// changes of them from the log into the state that is in force.
+// Package declare reads declarations from files, compares them, and applies
+// changes from the log to the state of the declarations.
 package declare
 
 import (
@@ -10,7 +10,7 @@
 	"pollenbend/internal/units"
 )
 
-// Fault is one fault of a declarations file.
+// Fault is one error in a declarations file.
 type Fault = tomlfile.Fault
 
 // file is a declarations file as operators write it.
@@ -51,7 +51,7 @@
 	Timeout    units.Duration    `toml:"timeout"`
 }
 
-// DemandTable is an amount of resources as operators write it.
+// DemandTable is an amount of resources as written in a file.
 type DemandTable struct {
 	CPU          units.CPU  `toml:"cpu"`
 	Memory       units.Size `toml:"memory"`
@@ -76,7 +76,7 @@
 
 const mebibyte = 1 << 20
 
-// Resources converts the table. Memory is rounded up to whole MiB.
+// Resources converts the table to the model. Memory is rounded up to whole MiB.
 func (d DemandTable) Resources() model.Resources {
 	memory := d.Memory.Bytes / mebibyte
 	if d.Memory.Bytes%mebibyte != 0 {
@@ -90,7 +90,7 @@
 	}
 }
 
-func demandOf(r model.Resources) DemandTable {
+func newDemandTable(r model.Resources) DemandTable {
 	return DemandTable{
 		CPU:          units.CPU{Milli: r.MilliCPU},
 		Memory:       units.Size{Bytes: r.MemoryMiB * mebibyte},
@@ -162,8 +162,8 @@
 	}
 }
 
-// fileOf converts declarations to the form that operators write.
-func fileOf(d model.Declarations) file {
+// newFile converts declarations to the form of a declarations file.
+func newFile(d model.Declarations) file {
 	var f file
 	for _, t := range d.Teams {
 		f.Teams = append(f.Teams, teamTable{Name: string(t.Name), Share: t.Share, Limit: t.Limit})
@@ -175,18 +175,18 @@
 		f.Queues = append(f.Queues, queueTable{Name: q.Name, Team: string(q.Team), Open: q.Open})
 	}
 	for _, s := range d.Services {
-		f.Services = append(f.Services, serviceTableOf(s))
+		f.Services = append(f.Services, newServiceTable(s))
 	}
 	for _, p := range d.Policies {
-		f.Policies = append(f.Policies, policyTableOf(p))
+		f.Policies = append(f.Policies, newPolicyTable(p))
 	}
 	return f
 }
 
-func serviceTableOf(s model.Service) serviceTable {
+func newServiceTable(s model.Service) serviceTable {
 	t := serviceTable{
 		Name:       s.Name,
-		Demand:     demandOf(s.Demand),
+		Demand:     newDemandTable(s.Demand),
 		Require:    Selector{s.Require},
 		Repeatable: s.Repeatable,
 		Class:      string(s.Class),
@@ -198,7 +198,7 @@
 	return t
 }
 
-func policyTableOf(p model.Policy) policyTable {
+func newPolicyTable(p model.Policy) policyTable {
 	return policyTable{
 		Name:     p.Name,
 		Team:     string(p.Team),
--- a/internal/declare/hours_test.go
+++ b/internal/declare/hours_test.go
@@ -20,8 +20,8 @@
 	return model.Policy{Name: "peak", Team: "a", TimeZone: zone, From: from, Until: until, Share: 9, Limit: 90}
 }
 
-// teamWith declares two teams and the policies.
-func teamWith(t *testing.T, policies ...model.Policy) *State {
+// newStateWithPolicies returns a state with two teams and the policies.
+func newStateWithPolicies(t *testing.T, policies ...model.Policy) *State {
 	t.Helper()
 	s := NewState()
 	put := model.Declarations{Teams: []model.Team{{Name: "a", Share: 1, Limit: 10}, {Name: "b", Share: 1}}, Policies: policies}
@@ -29,8 +29,8 @@
 	return s
 }
 
-// TestClockChange reads policies on both days on which the clocks change in 2026:
-// forward on 29 March, back on 25 October, both at 01:00 UTC.
+// TestClockChange evaluates policies around both daylight saving transitions of
+// 2026: forward on 29 March, back on 25 October, both at 01:00 UTC.
 func TestClockChange(t *testing.T) {
 	const dublin, copenhagen = "Europe/Dublin", "Europe/Copenhagen"
 	hm := func(h, m int) time.Duration { return time.Duration(h)*time.Hour + time.Duration(m)*time.Minute }
@@ -59,13 +59,13 @@
 		{"Copenhagen, back: 02:30 the second time", copenhagen, hm(2, 0), hm(3, 0), "2026-10-25T01:30:00Z", true},
 		{"Copenhagen, back: 03:00", copenhagen, hm(2, 0), hm(3, 0), "2026-10-25T02:00:00Z", false},
 		{"Copenhagen, over midnight before", copenhagen, hm(22, 0), hm(4, 0), "2026-10-24T20:00:00Z", true},
-		{"Copenhagen, over midnight of the long night", copenhagen, hm(22, 0), hm(4, 0), "2026-10-25T02:59:59Z", true},
+		{"Copenhagen, over midnight of the 25-hour day", copenhagen, hm(22, 0), hm(4, 0), "2026-10-25T02:59:59Z", true},
 		{"Copenhagen, over midnight after", copenhagen, hm(22, 0), hm(4, 0), "2026-10-25T03:00:00Z", false},
 		{"whole day", copenhagen, 0, 24 * time.Hour, "2026-10-25T23:00:00Z", true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := teamWith(t, peak(tt.zone, tt.from, tt.until))
+			s := newStateWithPolicies(t, peak(tt.zone, tt.from, tt.until))
 			want := model.Team{Name: "a", Share: 1, Limit: 10}
 			if tt.want {
 				want = model.Team{Name: "a", Share: 9, Limit: 90}
@@ -77,11 +77,11 @@
 	}
 }
 
-// Of several policies in force the one that is last by name wins in each field; other
-// teams and fields that a policy does not set stay as they are.
+// If several policies are active, the last by name wins for each field. Other teams
+// and fields that no policy sets keep their declared values.
 func TestPoliciesLeaveOtherTeamsAndUnsetFieldsAlone(t *testing.T) {
 	night := model.Policy{Name: "zz-night", Team: "a", TimeZone: "UTC", From: 0, Until: 12 * time.Hour, Limit: 5}
-	s := teamWith(t, peak("UTC", 0, 24*time.Hour), night)
+	s := newStateWithPolicies(t, peak("UTC", 0, 24*time.Hour), night)
 	morning := at(t, "2026-06-01T06:00:00Z")
 	team, _ := s.TeamAt("a", morning)
 	require.Equal(t, model.Team{Name: "a", Share: 9, Limit: 5}, team)
--- a/internal/declare/keys.go
+++ b/internal/declare/keys.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	secretPrefix = "pb_"
-	secretBytes  = 32
-	changeBytes  = 16
+	secretPrefix  = "pb_"
+	secretBytes   = 32
+	changeIDBytes = 16
 )
 
-// NewSecret draws a secret of 256 bits from random and returns it with its
-// SHA-256 hash in hex. It returns an error if random fails.
+// NewSecret reads a secret of 256 bits from random and returns it with its
+// SHA-256 hash in hex. It returns an error if the read fails.
 func NewSecret(random io.Reader) (secret, hash string, err error) {
 	raw := make([]byte, secretBytes)
 	if _, err := io.ReadFull(random, raw); err != nil {
@@ -29,24 +29,25 @@
 	return secret, HashSecret(secret), nil
 }
 
-// HashSecret returns the SHA-256 hash of a secret in hex, as a key declares it.
+// HashSecret returns the SHA-256 hash of a secret in hex, as in a key's
+// declaration.
 func HashSecret(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return hex.EncodeToString(sum[:])
 }
 
-// NewChangeID draws a change id from random. It returns an error if random
-// fails.
+// NewChangeID reads a change id from random and returns it in hex. It returns an
+// error if the read fails.
 func NewChangeID(random io.Reader) (string, error) {
-	raw := make([]byte, changeBytes)
+	raw := make([]byte, changeIDBytes)
 	if _, err := io.ReadFull(random, raw); err != nil {
 		return "", errors.Wrap(err, "draw a change id")
 	}
 	return hex.EncodeToString(raw), nil
 }
 
-// Withdrawal says that the key with a hash stopped working in its old form at
-// an offset of the log.
+// Withdrawal is the deletion or alteration of the key with a hash by the change
+// at an offset of the log.
 type Withdrawal struct {
 	SHA256 string `cbor:"1,keyasint"`
 	Offset uint64 `cbor:"2,keyasint"`
@@ -72,22 +73,22 @@
 	return k, ok
 }
 
-// HasOperator reports whether a key of scope operator is declared. Once there is
-// one, no change takes effect that leaves none.
+// HasOperator reports whether a key of scope operator is declared. Once one is
+// declared, a change that would leave none is invalid.
 func (s *State) HasOperator() bool {
 	for _, k := range s.keys {
-		if isOperator(k) {
+		if isOperatorKey(k) {
 			return true
 		}
 	}
 	return false
 }
 
-func isOperator(k model.Key) bool { return k.Scope == model.ScopeOperator }
+func isOperatorKey(k model.Key) bool { return k.Scope == model.ScopeOperator }
 
-// Withdraw refuses the key with the hash of w until the state has folded the
-// log up to w.Offset. It is for withdrawals heard from a peer. It reports whether
-// w was new.
+// Withdraw makes the state reject the key with the hash of w until the log has
+// been applied up to w.Offset. It is used for withdrawals received from a peer.
+// It reports whether w was new.
 func (s *State) Withdraw(w Withdrawal) bool {
 	if w.Offset <= s.applied || s.secrets.withdrawn[w.SHA256] >= w.Offset {
 		return false
@@ -96,8 +97,8 @@
 	return true
 }
 
-// withdrawnBy lists the keys that a change deletes or alters.
-func (s *State) withdrawnBy(offset uint64, c model.Change) []Withdrawal {
+// withdrawals returns a withdrawal for each key that a change deletes or alters.
+func (s *State) withdrawals(offset uint64, c model.Change) []Withdrawal {
 	var list []Withdrawal
 	for _, ref := range c.Delete {
 		if ref.Kind == model.ObjectKey {
@@ -112,15 +113,17 @@
 	return list
 }
 
-// prefixHexSize is the length of the part of a hash that the index is by.
+// prefixHexSize is the number of leading hex digits of a hash that secretIndex is
+// keyed by.
 const prefixHexSize = 16
 
-// secretIndex finds keys by the hash of their secret.
+// secretIndex maps the hashes of secrets to the names of keys.
 type secretIndex struct {
 	byPrefix  map[string][]hashedKey
-	withdrawn map[string]uint64 // hash to the offset that withdraws it
+	withdrawn map[string]uint64 // by hash: offset of the withdrawal
 }
 
+// hashedKey is the name of a key and the hash of its secret, both as declared.
 type hashedKey struct {
 	hash string
 	name string
@@ -131,7 +134,7 @@
 }
 
 func (x *secretIndex) find(hash string) (name string, ok bool) {
-	if _, gone := x.withdrawn[hash]; gone {
+	if _, withdrawn := x.withdrawn[hash]; withdrawn {
 		return "", false
 	}
 	for _, k := range x.byPrefix[hash[:prefixHexSize]] {
@@ -147,27 +150,27 @@
 	x.byPrefix[prefix] = append(x.byPrefix[prefix], hashedKey{hash: k.SHA256, name: k.Name})
 }
 
-// remove drops a key; the zero key is no key.
+// remove removes a key from the index. It ignores the zero key.
 func (x *secretIndex) remove(k model.Key) {
 	if k.SHA256 == "" {
 		return
 	}
 	prefix := k.SHA256[:prefixHexSize]
-	var rest []hashedKey
+	var remaining []hashedKey
 	for _, h := range x.byPrefix[prefix] {
 		if h.name != k.Name {
-			rest = append(rest, h)
+			remaining = append(remaining, h)
 		}
 	}
-	if len(rest) == 0 {
+	if len(remaining) == 0 {
 		delete(x.byPrefix, prefix)
 		return
 	}
-	x.byPrefix[prefix] = rest
+	x.byPrefix[prefix] = remaining
 }
 
-// passed drops the withdrawals that the fold has reached.
-func (x *secretIndex) passed(applied uint64) {
+// dropAppliedWithdrawals removes the withdrawals up to the offset applied.
+func (x *secretIndex) dropAppliedWithdrawals(applied uint64) {
 	for hash, offset := range x.withdrawn {
 		if offset <= applied {
 			delete(x.withdrawn, hash)
--- a/internal/declare/parse.go
+++ b/internal/declare/parse.go
@@ -12,16 +12,17 @@
 	"pollenbend/internal/tomlfile"
 )
 
-// Parse reads a file that holds all declarations, and calls it name in faults.
-// It returns every fault; the declarations are to be used only if there is none.
+// Parse reads a file that holds all declarations. name identifies the file in
+// faults. It returns every fault; the declarations may be used only if there is
+// none.
 func Parse(name string, data []byte) (model.Declarations, []Fault) {
-	return parse([]part{{name: name, data: data}})
+	return parse([]source{{name: name, data: data}})
 }
 
-// Load reads declarations that are spread over the files at paths. Together
-// they are taken as the whole.
+// Load reads declarations that are split over the files at paths and validates
+// them together. It returns every fault, as Parse does.
 func Load(paths ...string) (model.Declarations, []Fault) {
-	var parts []part
+	var sources []source
 	var faults []Fault
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
@@ -29,76 +30,75 @@
 			faults = append(faults, Fault{File: path, Message: "expected a readable file: " + err.Error()})
 			continue
 		}
-		parts = append(parts, part{name: path, data: data})
+		sources = append(sources, source{name: path, data: data})
 	}
-	d, more := parse(parts)
+	d, more := parse(sources)
 	return d, append(faults, more...)
 }
 
-// part is one file of the declarations.
-type part struct {
+// source is the content of one declarations file.
+type source struct {
 	name string
 	data []byte
 }
 
-// origin is the part of the declarations that one file holds: per kind, the
-// objects from first on.
-type origin struct {
+// decodedFile locates the objects of one file among all declarations.
+type decodedFile struct {
 	check *tomlfile.Checker
-	first map[model.ObjectKind]int
-	count map[model.ObjectKind]int
+	first map[model.ObjectKind]int // index of the file's first object
+	count map[model.ObjectKind]int // number of the file's objects
 }
 
-func parse(parts []part) (model.Declarations, []Fault) {
+func parse(sources []source) (model.Declarations, []Fault) {
 	var all model.Declarations
-	var origins []origin
-	namesKnown := true
-	for _, p := range parts {
-		r := tomlfile.Decode(p.name, p.data, func() file { return file{} })
+	var files []decodedFile
+	teamNamesKnown := true
+	for _, src := range sources {
+		r := tomlfile.Decode(src.name, src.data, func() file { return file{} })
 		d := r.Value.declarations()
-		origins = append(origins, origin{check: r.Check(p.name), first: counts(all), count: counts(d)})
+		files = append(files, decodedFile{check: r.Check(src.name), first: counts(all), count: counts(d)})
 		all = merge(all, d)
-		namesKnown = namesKnown && !r.Broken && !slices.ContainsFunc(r.Faults, hidesTeam)
+		teamNamesKnown = teamNamesKnown && !r.HasSyntaxError && !slices.ContainsFunc(r.Faults, hidesTeamName)
 	}
-	for _, p := range append(Validate(all), CheckZones(all)...) {
-		if !p.Reference || namesKnown {
-			report(origins, p)
+	for _, p := range append(Validate(all), CheckTimeZones(all)...) {
+		if !p.Reference || teamNamesKnown {
+			addToFile(files, p)
 		}
 	}
 	var faults []Fault
-	for _, o := range origins {
-		faults = append(faults, o.check.Faults()...)
+	for _, f := range files {
+		faults = append(faults, f.check.Faults()...)
 	}
 	return all, faults
 }
 
-// hidesTeam reports whether a fault leaves the name of a team unknown.
-func hidesTeam(f Fault) bool {
+// hidesTeamName reports whether a fault leaves the name of a team unknown.
+func hidesTeamName(f Fault) bool {
 	return f.Key == "team" || f.Key == "team.name"
 }
 
-// report adds a problem to the faults of the file that holds the object.
-func report(origins []origin, p Problem) {
-	for _, o := range origins {
-		i := p.Index - o.first[p.Ref.Kind]
-		if i < 0 || i >= o.count[p.Ref.Kind] {
+// addToFile adds a problem to the faults of the file that declares the object.
+func addToFile(files []decodedFile, p Problem) {
+	for _, f := range files {
+		i := p.Index - f.first[p.Ref.Kind]
+		if i < 0 || i >= f.count[p.Ref.Kind] {
 			continue
 		}
-		o.add(fmt.Sprintf("%s[%d].%s", p.Ref.Kind, i, p.Field), p)
+		f.addProblem(fmt.Sprintf("%s[%d].%s", p.Ref.Kind, i, p.Field), p)
 		return
 	}
 }
 
-func (o origin) add(path string, p Problem) {
+func (f decodedFile) addProblem(path string, p Problem) {
 	message := p.Message
 	if p.Ref.Name != "" && p.Field != "name" {
 		message = fmt.Sprintf("%s (in %s %q)", message, p.Ref.Kind, p.Ref.Name)
 	}
-	if !o.check.Has(path) {
-		o.check.Require(false, path, message)
+	if !f.check.Has(path) {
+		f.check.Require(false, path, message)
 		return
 	}
-	o.check.Add(path, "%s", message)
+	f.check.Add(path, "%s", message)
 }
 
 func merge(a, b model.Declarations) model.Declarations {
@@ -121,8 +121,9 @@
 	}
 }
 
-// Marshal writes declarations as a file that Parse reads.
+// Marshal encodes declarations as a TOML file that Parse reads. It returns an error
+// if encoding fails.
 func Marshal(d model.Declarations) ([]byte, error) {
-	data, err := toml.Marshal(fileOf(d))
+	data, err := toml.Marshal(newFile(d))
 	return data, errors.Wrap(err, "write declarations")
 }
--- a/internal/declare/parse_test.go
+++ b/internal/declare/parse_test.go
@@ -117,13 +117,13 @@
 }
 
 func TestNames(t *testing.T) {
-	for name, sound := range map[string]bool{
-		"a": true, "0": true, "a.b_c-9": true, strings.Repeat("a", maxName): true,
+	for name, valid := range map[string]bool{
+		"a": true, "0": true, "a.b_c-9": true, strings.Repeat("a", maxNameBytes): true,
 		"": false, "-a": false, ".": false, "A": false, "a b": false, "a/b": false, "\u00e9": false,
-		strings.Repeat("a", maxName+1): false,
+		strings.Repeat("a", maxNameBytes+1): false,
 	} {
 		problems := Validate(model.Declarations{Teams: []model.Team{{Name: model.TeamID(name), Share: 1}}})
-		require.Equal(t, sound, len(problems) == 0, "%q: %v", name, problems)
+		require.Equal(t, valid, len(problems) == 0, "name %q: %v", name, problems)
 	}
 }
 
@@ -182,7 +182,7 @@
 	team, _ := restored.TeamAt("north", now)
 	require.Equal(t, int64(7), team.Limit)
 	team, _ = s.TeamAt("north", now)
-	require.Equal(t, int64(9), team.Limit, "the policy is withdrawn")
+	require.Equal(t, int64(9), team.Limit, "the policy is deleted")
 }
 
 func FuzzParse(f *testing.F) {
--- a/internal/declare/refs.go
+++ b/internal/declare/refs.go
@@ -2,13 +2,13 @@
 
 import "pollenbend/internal/model"
 
-// IndexedRef names an object and gives its place among those of its kind.
+// IndexedRef refers to an object and holds its index among those of its kind.
 type IndexedRef struct {
 	model.ObjectRef
 	Index int
 }
 
-// Refs names every object of d, kind by kind.
+// Refs returns references to all objects of d, grouped by kind.
 func Refs(d model.Declarations) []IndexedRef {
 	var refs []IndexedRef
 	add := func(kind model.ObjectKind, name string, i int) {
--- a/internal/declare/selector.go
+++ b/internal/declare/selector.go
@@ -16,7 +16,7 @@
 	model.Selector `toml:"-"`
 }
 
-// Expected says how a selector is written.
+// Expected describes the text form of a selector for error messages.
 func (Selector) Expected() string {
 	return `a selector, such as "gpu", "!gpu", "tier=web", "zone in (a,b)" or "rack notin (r1)"`
 }
@@ -28,7 +28,7 @@
 )
 
 // UnmarshalText implements encoding.TextUnmarshaler. It returns an error that
-// names the term it does not understand.
+// quotes the first invalid term.
 func (s *Selector) UnmarshalText(text []byte) error {
 	selector, err := ParseSelector(string(text))
 	s.Selector = selector
@@ -38,7 +38,8 @@
 // MarshalText implements encoding.TextMarshaler.
 func (s Selector) MarshalText() ([]byte, error) { return []byte(FormatSelector(s.Selector)), nil }
 
-// ParseSelector parses a selector. Empty text matches everything.
+// ParseSelector parses a selector. Empty text gives the empty selector, which
+// matches everything. It returns an error that quotes the first invalid term.
 func ParseSelector(text string) (model.Selector, error) {
 	if strings.TrimSpace(text) == "" {
 		return nil, nil
@@ -54,7 +55,7 @@
 	return selector, nil
 }
 
-// splitTerms splits at the commas outside parentheses.
+// splitTerms splits text at the commas outside parentheses.
 func splitTerms(text string) []string {
 	var terms []string
 	depth, start := 0, 0
@@ -72,15 +73,16 @@
 	return append(terms, text[start:])
 }
 
+// parseTerm parses one term and reports whether it is valid.
 func parseTerm(term string) (model.Requirement, bool) {
 	if m := setPattern.FindStringSubmatch(term); m != nil {
-		return setTerm(m[1], m[2], strings.Split(m[3], ","))
+		return newSetRequirement(m[1], m[2], strings.Split(m[3], ","))
 	}
 	if label, value, ok := strings.Cut(term, "!="); ok {
-		return setTerm(strings.TrimSpace(label), "notin", []string{value})
+		return newSetRequirement(strings.TrimSpace(label), "notin", []string{value})
 	}
 	if label, value, ok := strings.Cut(term, "="); ok {
-		return setTerm(strings.TrimSpace(label), "in", []string{strings.TrimPrefix(value, "=")})
+		return newSetRequirement(strings.TrimSpace(label), "in", []string{strings.TrimPrefix(value, "=")})
 	}
 	if label, ok := strings.CutPrefix(term, "!"); ok {
 		label = strings.TrimSpace(label)
@@ -89,7 +91,9 @@
 	return model.Requirement{Label: term, Op: model.OpExists}, labelPattern.MatchString(term)
 }
 
-func setTerm(label, op string, values []string) (model.Requirement, bool) {
+// newSetRequirement returns the requirement for op "in" or "notin" and reports
+// whether it is valid.
+func newSetRequirement(label, op string, values []string) (model.Requirement, bool) {
 	q := model.Requirement{Label: label, Op: model.OpIn}
 	if op == "notin" {
 		q.Op = model.OpNotIn
@@ -100,19 +104,19 @@
 	return q, validRequirement(q)
 }
 
-// validRequirement reports whether q could have been written as a term.
+// validRequirement reports whether q has a text form that parseTerm accepts.
 func validRequirement(q model.Requirement) bool {
 	for _, v := range q.Values {
 		if !valuePattern.MatchString(v) {
 			return false
 		}
 	}
-	isSet := q.Op == model.OpIn || q.Op == model.OpNotIn
-	isBare := q.Op == model.OpExists || q.Op == model.OpNotExists
-	return labelPattern.MatchString(q.Label) && (isSet && len(q.Values) > 0 || isBare && len(q.Values) == 0)
+	isSetOp := q.Op == model.OpIn || q.Op == model.OpNotIn
+	isExistenceOp := q.Op == model.OpExists || q.Op == model.OpNotExists
+	return labelPattern.MatchString(q.Label) && (isSetOp && len(q.Values) > 0 || isExistenceOp && len(q.Values) == 0)
 }
 
-// FormatSelector writes a selector as ParseSelector reads it.
+// FormatSelector returns the text form of a selector that ParseSelector reads.
 func FormatSelector(s model.Selector) string {
 	terms := make([]string, len(s))
 	for i, q := range s {
--- a/internal/declare/settled.go
+++ b/internal/declare/settled.go
@@ -1,11 +1,13 @@
 package declare
 
-// maxSettled is the number of settled changes that are remembered, the newest
-// ones. An accepted change that is forgotten still has no effect when repeated,
-// since the objects it touched are newer than its base.
+// maxSettled is the maximum number of settled changes whose results are stored.
+// The oldest results are dropped first. An accepted change without a stored result
+// still has no effect when it is repeated, since the versions of the objects that
+// it touched are newer than its base.
 const maxSettled = 4096
 
-// settledChanges remembers the results of the last changes by id.
+// settledChanges stores the results of the newest settled changes by id. A change
+// is settled once its outcome is decided.
 type settledChanges struct {
 	results map[string]Result
 	order   []string // oldest first
@@ -20,10 +22,10 @@
 	return r, ok
 }
 
-// add remembers the result of a change. Changes without a usable id are not
-// remembered.
+// add stores the result of a change. Results of changes with an empty or too long
+// id are not stored.
 func (c *settledChanges) add(id string, r Result) {
-	if id == "" || len(id) > maxChangeID {
+	if id == "" || len(id) > maxChangeIDBytes {
 		return
 	}
 	r.Withdrawn = nil
--- a/internal/declare/snapshot.go
+++ b/internal/declare/snapshot.go
@@ -10,8 +10,7 @@
 	"pollenbend/internal/model"
 )
 
-// encoding is CBOR with one form for each value, so that equal states have
-// equal snapshots.
+// encoding is deterministic CBOR, so that equal states have equal snapshots.
 var encoding = newEncoding()
 
 func newEncoding() cbor.EncMode {
@@ -22,7 +21,8 @@
 	return mode
 }
 
-// mustEncode encodes a value of the model, which always has an encoding.
+// mustEncode encodes a value of the model. It panics on an error, which no type of
+// the model can cause.
 func mustEncode[T any](v T) []byte {
 	data, err := encoding.Marshal(v)
 	if err != nil {
@@ -57,8 +57,8 @@
 	Message string  `cbor:"4,keyasint,omitempty"`
 }
 
-// Snapshot encodes the whole state. States that folded the same entries have
-// the same snapshot.
+// Snapshot encodes the state. States that applied the same log entries have the
+// same snapshot.
 func (s *State) Snapshot() []byte {
 	snap := snapshot{
 		Format:       snapshotFormat,
@@ -81,8 +81,8 @@
 	return mustEncode(snap)
 }
 
-// Restore decodes a snapshot. It returns an error if data is no snapshot or the
-// declarations in it are not valid.
+// Restore decodes a snapshot. It returns an error if data is not a snapshot or the
+// declarations in it are invalid.
 func Restore(data []byte) (*State, error) {
 	var snap snapshot
 	if err := cbor.Unmarshal(data, &snap); err != nil {
@@ -108,9 +108,9 @@
 	return s, nil
 }
 
-// Adopt replaces the state by a newer one, such as a peer's. It reports false
-// and changes nothing if other has folded no more than s. Withdrawals heard
-// from peers are kept until the log is folded up to them.
+// Adopt replaces the state with a newer one, such as a peer's. It returns false
+// and changes nothing if other has not applied more of the log than s.
+// Withdrawals received from peers are kept until the log is applied up to them.
 func (s *State) Adopt(other *State) bool {
 	if other.applied <= s.applied {
 		return false
@@ -118,6 +118,6 @@
 	withdrawn := s.secrets.withdrawn
 	*s = *other
 	s.secrets.withdrawn = withdrawn
-	s.secrets.passed(s.applied)
+	s.secrets.dropAppliedWithdrawals(s.applied)
 	return true
 }
--- a/internal/declare/state.go
+++ b/internal/declare/state.go
@@ -7,23 +7,23 @@
 	"pollenbend/internal/model"
 )
 
-// State is the declarations in force: the fold of all changes in the log. Two
-// states that folded the same entries are equal. It is not safe for concurrent
-// use.
+// State holds the current declarations, the result of applying all changes in the
+// log in order. Two states that applied the same entries are equal. A State is not
+// safe for concurrent use.
 type State struct {
 	version uint64 // offset of the last accepted change
-	applied uint64 // offset of the last folded change
-
-	teams    map[model.TeamID]model.Team
-	keys     map[string]model.Key
-	queues   map[string]model.Queue
-	services map[string]model.Service
-	policies map[string]model.Policy
-	byTeam   map[model.TeamID][]policy // in the order of names
-
-	// modified is the version of the last change to each object, deleted ones
-	// included. Deleted ones are dropped beyond maxDeleted; floor is the
-	// newest version dropped so far.
+	applied uint64 // offset of the last applied change, accepted or not
+
+	teams          map[model.TeamID]model.Team
+	keys           map[string]model.Key
+	queues         map[string]model.Queue
+	services       map[string]model.Service
+	policies       map[string]model.Policy
+	policiesByTeam map[model.TeamID][]policyWithLocation // sorted by name
+
+	// modified holds the version of the last change to each object, including
+	// deleted ones. Beyond maxDeleted the oldest deleted ones are dropped; floor
+	// is the newest version dropped so far.
 	modified map[model.ObjectRef]uint64
 	deleted  []model.ObjectRef // oldest first
 	floor    uint64
@@ -46,10 +46,10 @@
 	}
 }
 
-// Version returns the offset of the last accepted change. It never falls.
+// Version returns the offset of the last accepted change. It never decreases.
 func (s *State) Version() uint64 { return s.version }
 
-// Applied returns the offset of the last folded change, accepted or not.
+// Applied returns the offset of the last applied change, accepted or not.
 func (s *State) Applied() uint64 { return s.applied }
 
 // Team returns the declared team of that name.
@@ -70,16 +70,17 @@
 	return v, ok
 }
 
-// Modified returns the version of the last change to an object, or 0.
+// Modified returns the version of the last change to an object, or 0 if none is
+// known.
 func (s *State) Modified(ref model.ObjectRef) uint64 { return s.modified[ref] }
 
-// Declarations returns everything declared, in the order of the names.
+// Declarations returns all declared objects, sorted by name.
 func (s *State) Declarations() model.Declarations {
-	return byName(s.after(model.Change{}))
+	return sortByName(s.declarationsAfter(model.Change{}))
 }
 
-// byName sorts each kind of object in place.
-func byName(d model.Declarations) model.Declarations {
+// sortByName sorts each kind of object in place and returns d.
+func sortByName(d model.Declarations) model.Declarations {
 	slices.SortFunc(d.Teams, func(a, b model.Team) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(d.Keys, func(a, b model.Key) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(d.Queues, func(a, b model.Queue) int { return cmp.Compare(a.Name, b.Name) })
@@ -88,8 +89,8 @@
 	return d
 }
 
-// values lists the values of the keys that are kept.
-func values[K comparable, V any](m map[K]V, keep func(K) bool) []V {
+// filterValues returns the values of m whose keys satisfy keep, unordered.
+func filterValues[K comparable, V any](m map[K]V, keep func(K) bool) []V {
 	if len(m) == 0 {
 		return nil
 	}
@@ -102,7 +103,7 @@
 	return list
 }
 
-// put stores every object of d.
+// put adds or replaces every object of d.
 func (s *State) put(d model.Declarations) {
 	for _, t := range d.Teams {
 		s.teams[t.Name] = t
@@ -125,7 +126,7 @@
 	}
 }
 
-// remove drops the named object.
+// remove deletes the named object.
 func (s *State) remove(ref model.ObjectRef) {
 	switch ref.Kind {
 	case model.ObjectTeam:
--- a/internal/declare/state_test.go
+++ b/internal/declare/state_test.go
@@ -11,7 +11,7 @@
 	"pollenbend/internal/model"
 )
 
-func team(name string, share int64) model.Declarations {
+func teamDeclaration(name string, share int64) model.Declarations {
 	return model.Declarations{Teams: []model.Team{{Name: model.TeamID(name), Share: share}}}
 }
 
@@ -30,19 +30,19 @@
 		want    Outcome
 		version uint64
 	}{
-		{"first", 5, change("1", 0, team("north", 1)), Accepted, 5},
-		{"from an old base", 6, change("2", 4, team("north", 2)), Conflict, 5},
-		{"other object, old base", 7, change("3", 0, team("south", 2)), Accepted, 7},
-		{"from a base to come", 8, change("4", 8, team("east", 2)), Invalid, 7},
-		{"no share", 9, change("5", 7, team("east", 0)), Invalid, 7},
-		{"no id", 10, change("", 7, team("east", 1)), Invalid, 7},
+		{"first", 5, change("1", 0, teamDeclaration("north", 1)), Accepted, 5},
+		{"from an old base", 6, change("2", 4, teamDeclaration("north", 2)), Conflict, 5},
+		{"other object, old base", 7, change("3", 0, teamDeclaration("south", 2)), Accepted, 7},
+		{"from a future base", 8, change("4", 8, teamDeclaration("east", 2)), Invalid, 7},
+		{"no share", 9, change("5", 7, teamDeclaration("east", 0)), Invalid, 7},
+		{"no id", 10, change("", 7, teamDeclaration("east", 1)), Invalid, 7},
 		{"empty", 11, change("6", 7, model.Declarations{}), Invalid, 7},
-		{"put and delete", 12, change("7", 7, team("north", 2), north), Invalid, 7},
+		{"put and delete", 12, change("7", 7, teamDeclaration("north", 2), north), Invalid, 7},
 		{"key", 13, change("8", 7, key), Accepted, 13},
 		{"team in use", 14, change("9", 13, model.Declarations{}, north), Invalid, 13},
-		{"lost answer, asked again", 15, change("8", 7, key), Accepted, 13},
+		{"repeated after a lost answer", 15, change("8", 7, key), Accepted, 13},
 		{"not declared", 16, change("10", 13, model.Declarations{}, model.ObjectRef{Kind: model.ObjectQueue, Name: "q"}), Conflict, 13},
-		{"before the state", 2, change("11", 0, team("west", 1)), Forgotten, 13},
+		{"offset before the state", 2, change("11", 0, teamDeclaration("west", 1)), Forgotten, 13},
 	}
 	for _, st := range steps {
 		r := s.Apply(st.offset, st.change)
@@ -56,9 +56,9 @@
 
 func TestDeletedObjectsStillConflict(t *testing.T) {
 	s := NewState()
-	s.Apply(1, change("a", 0, team("north", 1)))
+	s.Apply(1, change("a", 0, teamDeclaration("north", 1)))
 	s.Apply(2, change("b", 1, model.Declarations{}, model.ObjectRef{Kind: model.ObjectTeam, Name: "north"}))
-	require.Equal(t, Conflict, s.Apply(3, change("c", 1, team("north", 9))).Outcome)
+	require.Equal(t, Conflict, s.Apply(3, change("c", 1, teamDeclaration("north", 9))).Outcome)
 
 	var many model.Declarations
 	for i := range maxDeleted + 1 {
@@ -67,16 +67,16 @@
 	require.Equal(t, Accepted, s.Apply(4, change("d", 2, many)).Outcome)
 	require.Equal(t, Accepted, s.Apply(5, model.Change{ID: "e", Base: 4, Delete: Touched(model.Change{Put: many})}).Outcome)
 	require.Len(t, s.modified, maxDeleted)
-	require.Equal(t, Conflict, s.Apply(6, change("f", 1, team("north", 9))).Outcome, "the deletion is dropped, its version is not")
-	require.Equal(t, Accepted, s.Apply(7, change("g", 5, team("north", 9))).Outcome)
+	require.Equal(t, Conflict, s.Apply(6, change("f", 1, teamDeclaration("north", 9))).Outcome, "the deletion is no longer tracked, but its version still bounds the base")
+	require.Equal(t, Accepted, s.Apply(7, change("g", 5, teamDeclaration("north", 9))).Outcome)
 }
 
 func TestDeclaredAgainIsNotDropped(t *testing.T) {
 	s := NewState()
 	north := model.ObjectRef{Kind: model.ObjectTeam, Name: "north"}
-	s.Apply(1, change("a", 0, team("north", 1)))
+	s.Apply(1, change("a", 0, teamDeclaration("north", 1)))
 	s.Apply(2, change("b", 1, model.Declarations{}, north))
-	s.Apply(3, change("c", 2, team("north", 2)))
+	s.Apply(3, change("c", 2, teamDeclaration("north", 2)))
 	var many model.Declarations
 	for i := range maxDeleted {
 		many.Teams = append(many.Teams, model.Team{Name: model.TeamID(fmt.Sprintf("t%d", i)), Share: 1})
@@ -89,7 +89,7 @@
 func TestReplacedSecretIsRefused(t *testing.T) {
 	s := NewState()
 	k := model.Key{Name: "k", Team: "north", Scope: model.ScopeTeam, SHA256: HashSecret("first")}
-	put := team("north", 1)
+	put := teamDeclaration("north", 1)
 	put.Keys = []model.Key{k}
 	s.Apply(1, change("a", 0, put))
 	works := func(secret string) bool { _, ok := s.Authenticate(secret); return ok }
@@ -103,16 +103,16 @@
 	require.True(t, works("second"))
 	s.Apply(3, change("gone", 2, model.Declarations{}, model.ObjectRef{Kind: model.ObjectKey, Name: "k"}))
 	replace(4, "third")
-	require.False(t, works("second"), "the name is back, the secret is not")
+	require.False(t, works("second"), "declaring the name again must not restore the deleted secret")
 	require.True(t, works("third"))
 }
 
 func TestForgottenChangeHasNoSecondEffect(t *testing.T) {
 	s := NewState()
-	first := change("first", 0, team("north", 1))
+	first := change("first", 0, teamDeclaration("north", 1))
 	s.Apply(1, first)
 	for i := uint64(2); i < maxSettled+3; i++ {
-		s.Apply(i, change(fmt.Sprint(i), s.Version(), team("south", int64(i))))
+		s.Apply(i, change(fmt.Sprint(i), s.Version(), teamDeclaration("south", int64(i))))
 	}
 	_, ok := s.Settled("first")
 	require.False(t, ok)
@@ -127,7 +127,7 @@
 	require.Error(t, err)
 
 	k := model.Key{Name: "k", Team: "north", Scope: model.ScopeTeam, SHA256: hash}
-	put := team("north", 1)
+	put := teamDeclaration("north", 1)
 	put.Keys = []model.Key{k}
 	s, peer := NewState(), NewState()
 	s.Apply(1, change("a", 0, put))
@@ -143,14 +143,14 @@
 	require.Equal(t, []Withdrawal{{SHA256: hash, Offset: 2}}, r.Withdrawn)
 	s.Withdraw(r.Withdrawn[0])
 	_, ok = s.Authenticate(secret)
-	require.False(t, ok, "refused before the log is read")
+	require.False(t, ok, "a withdrawal from a peer takes effect before the log is applied")
 	require.Equal(t, uint64(1), s.Version())
 
 	s.Apply(2, remove)
 	again := change("c", 2, model.Declarations{Keys: []model.Key{k}})
 	s.Apply(3, again)
 	_, ok = s.Authenticate(secret)
-	require.True(t, ok, "given again after the withdrawal")
+	require.True(t, ok, "the key is declared again after the withdrawal")
 	s.Withdraw(r.Withdrawn[0])
 	_, ok = s.Authenticate(secret)
 	require.True(t, ok, "a late withdrawal has no effect")
@@ -171,22 +171,22 @@
 
 func TestAdoptOnlyNewer(t *testing.T) {
 	old, recent := NewState(), NewState()
-	old.Apply(1, change("a", 0, team("north", 1)))
-	recent.Apply(1, change("a", 0, team("north", 1)))
-	recent.Apply(2, change("b", 1, team("north", 2)))
+	old.Apply(1, change("a", 0, teamDeclaration("north", 1)))
+	recent.Apply(1, change("a", 0, teamDeclaration("north", 1)))
+	recent.Apply(2, change("b", 1, teamDeclaration("north", 2)))
 	require.False(t, recent.Adopt(old))
 	require.True(t, old.Adopt(recent))
 	require.Equal(t, recent.Snapshot(), old.Snapshot())
 }
 
 func TestRestoreRefusesOtherData(t *testing.T) {
-	for _, data := range [][]byte{nil, {0xa0}, []byte("snapshot"), mustEncode(snapshot{Format: 2}), mustEncode(snapshot{Format: 1, Declarations: team("", 0)})} {
+	for _, data := range [][]byte{nil, {0xa0}, []byte("snapshot"), mustEncode(snapshot{Format: 2}), mustEncode(snapshot{Format: 1, Declarations: teamDeclaration("", 0)})} {
 		_, err := Restore(data)
 		require.Error(t, err)
 	}
 }
 
-// drawChange draws a change of few objects, so that changes meet.
+// drawChange draws a change of a few objects, so that changes conflict.
 func drawChange(t *rapid.T, version uint64) model.Change {
 	ids := rapid.IntRange(0, 40)
 	names := rapid.SampledFrom([]string{"a", "b", "c"})
@@ -197,7 +197,7 @@
 	name := names.Draw(t, "name")
 	switch rapid.IntRange(0, 4).Draw(t, "kind") {
 	case 0:
-		c.Put = team(name, rapid.Int64Range(0, 3).Draw(t, "share"))
+		c.Put = teamDeclaration(name, rapid.Int64Range(0, 3).Draw(t, "share"))
 	case 1:
 		c.Put.Keys = []model.Key{{Name: name, Team: "a", Scope: model.ScopeTeam, SHA256: rapid.SampledFrom([]string{hashA, hashB}).Draw(t, "hash")}}
 	case 2:
@@ -205,27 +205,27 @@
 	case 3:
 		c.Delete = []model.ObjectRef{{Kind: model.ObjectKey, Name: name}}
 	case 4:
-		c.Put = team(name, 1)
+		c.Put = teamDeclaration(name, 1)
 		c.Put.Queues = []model.Queue{{Name: name, Team: model.TeamID(name)}}
 	}
 	return c
 }
 
-type logged struct {
+type logEntry struct {
 	offset uint64
 	change model.Change
 }
 
-// TestReplicasAgree folds one log on three instances: one reads it in order,
-// one reads parts of it again, one restarts from a snapshot in the middle.
+// TestReplicasAgree applies one log to three states: one in order, one with some
+// entries applied repeatedly, one that is restored from snapshots in between.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var log []logged
+		var log []logEntry
 		plain, rereading, restarted := NewState(), NewState(), NewState()
 		for range rapid.IntRange(1, 60).Draw(t, "entries") {
-			// Several changes may share an entry and so an offset.
+			// Several changes may share a log entry and therefore its offset.
 			offset := plain.Applied() + rapid.Uint64Range(0, 2).Draw(t, "step")
-			e := logged{max(offset, 1), drawChange(t, plain.Version())}
+			e := logEntry{max(offset, 1), drawChange(t, plain.Version())}
 			log = append(log, e)
 			before := plain.Version()
 			result := plain.Apply(e.offset, e.change)
@@ -249,11 +249,12 @@
 	})
 }
 
-// TestOneOfTwoRacingChangesWins lets changes of one object from one base race.
+// TestOneOfTwoRacingChangesWins applies several changes of one object from the same
+// base: only the first in the log may be accepted.
 func TestOneOfTwoRacingChangesWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
-		s.Apply(1, change("first", 0, team("a", 1)))
+		s.Apply(1, change("first", 0, teamDeclaration("a", 1)))
 		accepted := 0
 		racers := rapid.IntRange(2, 5).Draw(t, "racers")
 		for i := range racers {
@@ -261,7 +262,7 @@
 			if i == 0 {
 				offset = 2
 			}
-			r := s.Apply(offset, change(fmt.Sprint(i), 1, team("a", int64(i+2))))
+			r := s.Apply(offset, change(fmt.Sprint(i), 1, teamDeclaration("a", int64(i+2))))
 			if r.Outcome == Accepted {
 				accepted++
 			}
--- a/internal/declare/validate.go
+++ b/internal/declare/validate.go
@@ -5,19 +5,19 @@
 	"fmt"
 	"strings"
 	"time"
-	_ "time/tzdata" // the zones are the same on a machine without zone files
+	_ "time/tzdata" // gives machines without zone files the same time zones
 
 	"pollenbend/internal/model"
 )
 
-// Problem is a fault of the declarations themselves. Index is the object's
-// place among those of its kind, and Field its key in a file.
+// Problem is an error in the declarations, independent of files. Index is the
+// object's index among those of its kind, and Field the key in a file.
 type Problem struct {
 	Ref     model.ObjectRef
 	Index   int
 	Field   string
 	Message string
-	// Reference is set if the problem is a name that is not declared.
+	// Reference is set if the object refers to a name that is not declared.
 	Reference bool
 }
 
@@ -26,26 +26,26 @@
 	return fmt.Sprintf("%s %q: %s: %s", p.Ref.Kind, p.Ref.Name, p.Field, p.Message)
 }
 
-// Bounds of declared numbers. They keep sums over a fleet far from overflow.
+// Bounds of declared values. They keep sums over a fleet far from overflow.
 const (
-	maxShare      = 1_000_000
-	maxTasks      = 10_000_000
-	maxMilliCPU   = 1_000_000_000
-	maxMemoryMiB  = 1 << 30
-	maxUnits      = 1_000_000 // slots or accelerators of one task
-	maxWeight     = 1_000_000
-	maxTimeout    = 24 * time.Hour
-	dayLength     = 24 * time.Hour
-	nameForm      = `a name of up to 63 of a-z, 0-9, ".", "_" and "-" that starts with a letter or digit`
-	sha256HexSize = 64
+	maxShare               = 1_000_000
+	maxTaskLimit           = 10_000_000
+	maxMilliCPU            = 1_000_000_000
+	maxMemoryMiB           = 1 << 30
+	maxSlotsOrAccelerators = 1_000_000 // per task, of either
+	maxWeight              = 1_000_000
+	maxTimeout             = 24 * time.Hour
+	dayLength              = 24 * time.Hour
+	nameForm               = `a name of up to 63 of a-z, 0-9, ".", "_" and "-" that starts with a letter or digit`
+	sha256HexSize          = 64
 )
 
-// maxName is the greatest length of a name in bytes.
-const maxName = 63
+// maxNameBytes is the maximum length of a name.
+const maxNameBytes = 63
 
 // validName reports whether name has the form that nameForm describes.
 func validName(name string) bool {
-	if name == "" || len(name) > maxName || strings.ContainsAny(name[:1], "._-") {
+	if name == "" || len(name) > maxNameBytes || strings.ContainsAny(name[:1], "._-") {
 		return false
 	}
 	for _, c := range []byte(name) {
@@ -58,23 +58,23 @@
 	return true
 }
 
-// Validate returns every problem of d, taken as the whole of the declarations.
-// The result depends on d alone: whether a time zone exists is left to
-// CheckZones, since zone data differ between machines.
+// Validate returns every problem of d, which must be the complete declarations.
+// The result depends only on d. Whether a time zone exists is checked by
+// CheckTimeZones instead, since time zone data differs between machines.
 func Validate(d model.Declarations) []Problem {
 	v := validator{names: map[model.ObjectRef]bool{}, hashes: map[string]string{}}
-	v.declare(d)
-	v.teams(d.Teams)
-	v.keys(d.Keys)
-	v.queues(d.Queues)
-	v.services(d.Services)
-	v.policies(d.Policies)
+	v.collectNames(d)
+	v.checkTeams(d.Teams)
+	v.checkKeys(d.Keys)
+	v.checkQueues(d.Queues)
+	v.checkServices(d.Services)
+	v.checkPolicies(d.Policies)
 	return v.problems
 }
 
-// CheckZones returns a problem for each policy whose time zone this machine
-// does not know.
-func CheckZones(d model.Declarations) []Problem {
+// CheckTimeZones returns a problem for each policy whose time zone is unknown on
+// this machine.
+func CheckTimeZones(d model.Declarations) []Problem {
 	var problems []Problem
 	for i, p := range d.Policies {
 		if _, err := time.LoadLocation(p.TimeZone); err != nil {
@@ -88,14 +88,14 @@
 
 type validator struct {
 	names    map[model.ObjectRef]bool
-	hashes   map[string]string // hash to the key that has it
+	hashes   map[string]string // name of the key by hash
 	problems []Problem
-	ref      model.ObjectRef // object at hand
+	ref      model.ObjectRef // object being checked
 	index    int
 }
 
-// declare notes all declared names and reports the bad and the double ones.
-func (v *validator) declare(d model.Declarations) {
+// collectNames records all declared names and reports invalid and duplicate ones.
+func (v *validator) collectNames(d model.Declarations) {
 	for _, ref := range Refs(d) {
 		v.ref, v.index = ref.ObjectRef, ref.Index
 		if !validName(ref.Name) {
@@ -109,24 +109,26 @@
 	}
 }
 
+// add reports a problem of the current object.
 func (v *validator) add(field, format string, args ...any) {
 	p := Problem{Ref: v.ref, Index: v.index, Field: field, Message: fmt.Sprintf(format, args...)}
 	v.problems = append(v.problems, p)
 }
 
-func (v *validator) at(kind model.ObjectKind, name string, index int) {
+// setObject sets the object that add reports problems of.
+func (v *validator) setObject(kind model.ObjectKind, name string, index int) {
 	v.ref, v.index = model.ObjectRef{Kind: kind, Name: name}, index
 }
 
-// within wants n to lie between low and high.
-func (v *validator) within(field string, n, low, high int64) {
+// checkRange reports a problem unless n is between low and high, inclusive.
+func (v *validator) checkRange(field string, n, low, high int64) {
 	if n < low || n > high {
 		v.add(field, "expected a number from %d to %d, got %d", low, high, n)
 	}
 }
 
-// team wants name to be a declared team.
-func (v *validator) team(name model.TeamID) {
+// checkTeam reports a problem unless name is a declared team.
+func (v *validator) checkTeam(name model.TeamID) {
 	if v.names[model.ObjectRef{Kind: model.ObjectTeam, Name: string(name)}] {
 		return
 	}
@@ -134,26 +136,26 @@
 	v.problems[len(v.problems)-1].Reference = true
 }
 
-func (v *validator) teams(teams []model.Team) {
+func (v *validator) checkTeams(teams []model.Team) {
 	for i, t := range teams {
-		v.at(model.ObjectTeam, string(t.Name), i)
-		v.within("share", t.Share, 1, maxShare)
-		v.within("limit", t.Limit, 0, maxTasks)
+		v.setObject(model.ObjectTeam, string(t.Name), i)
+		v.checkRange("share", t.Share, 1, maxShare)
+		v.checkRange("limit", t.Limit, 0, maxTaskLimit)
 	}
 }
 
-func (v *validator) keys(keys []model.Key) {
+func (v *validator) checkKeys(keys []model.Key) {
 	for i, k := range keys {
-		v.at(model.ObjectKey, k.Name, i)
-		v.scope(k)
-		v.hash(k)
+		v.setObject(model.ObjectKey, k.Name, i)
+		v.checkScope(k)
+		v.checkHash(k)
 	}
 }
 
-func (v *validator) scope(k model.Key) {
+func (v *validator) checkScope(k model.Key) {
 	switch k.Scope {
 	case model.ScopeTeam:
-		v.team(k.Team)
+		v.checkTeam(k.Team)
 	case model.ScopeOperator:
 		if k.Team != "" {
 			v.add("team", "expected no team on a key of scope operator, got %q", k.Team)
@@ -163,7 +165,7 @@
 	}
 }
 
-func (v *validator) hash(k model.Key) {
+func (v *validator) checkHash(k model.Key) {
 	raw, err := hex.DecodeString(k.SHA256)
 	if err != nil || len(k.SHA256) != sha256HexSize || hex.EncodeToString(raw) != k.SHA256 {
 		v.add("sha256", "expected the SHA-256 hash of the secret as %d lower-case hex digits", sha256HexSize)
@@ -175,30 +177,30 @@
 	v.hashes[k.SHA256] = k.Name
 }
 
-func (v *validator) queues(queues []model.Queue) {
+func (v *validator) checkQueues(queues []model.Queue) {
 	for i, q := range queues {
-		v.at(model.ObjectQueue, q.Name, i)
-		v.team(q.Team)
+		v.setObject(model.ObjectQueue, q.Name, i)
+		v.checkTeam(q.Team)
 	}
 }
 
-func (v *validator) services(services []model.Service) {
+func (v *validator) checkServices(services []model.Service) {
 	for i, s := range services {
-		v.at(model.ObjectService, s.Name, i)
-		v.within("demand.cpu", s.Demand.MilliCPU, 0, maxMilliCPU)
-		v.within("demand.memory", s.Demand.MemoryMiB, 0, maxMemoryMiB)
-		v.within("demand.slots", s.Demand.Slots, 1, maxUnits)
-		v.within("demand.accelerators", s.Demand.Accelerators, 0, maxUnits)
-		v.selector("require", s.Require)
-		v.preferences(s.Prefer)
-		v.class(s.Class)
+		v.setObject(model.ObjectService, s.Name, i)
+		v.checkRange("demand.cpu", s.Demand.MilliCPU, 0, maxMilliCPU)
+		v.checkRange("demand.memory", s.Demand.MemoryMiB, 0, maxMemoryMiB)
+		v.checkRange("demand.slots", s.Demand.Slots, 1, maxSlotsOrAccelerators)
+		v.checkRange("demand.accelerators", s.Demand.Accelerators, 0, maxSlotsOrAccelerators)
+		v.checkSelector("require", s.Require)
+		v.checkPreferences(s.Prefer)
+		v.checkClass(s.Class)
 		if s.Timeout < 0 || s.Timeout > maxTimeout {
 			v.add("timeout", "expected a duration of at most 24h, got %s", s.Timeout)
 		}
 	}
 }
 
-func (v *validator) selector(field string, s model.Selector) {
+func (v *validator) checkSelector(field string, s model.Selector) {
 	for _, q := range s {
 		if !validRequirement(q) {
 			v.add(field, "expected %s, got the term %q", Selector{}.Expected(), formatTerm(q))
@@ -206,18 +208,18 @@
 	}
 }
 
-func (v *validator) preferences(list []model.Preference) {
+func (v *validator) checkPreferences(list []model.Preference) {
 	for i, p := range list {
 		field := fmt.Sprintf("prefer[%d]", i)
-		v.selector(field+".selector", p.Selector)
-		v.within(field+".weight", int64(p.Weight), -maxWeight, maxWeight)
+		v.checkSelector(field+".selector", p.Selector)
+		v.checkRange(field+".weight", int64(p.Weight), -maxWeight, maxWeight)
 		if len(p.Selector) == 0 || p.Weight == 0 {
 			v.add(field, "expected a selector and a weight other than 0")
 		}
 	}
 }
 
-func (v *validator) class(c model.Class) {
+func (v *validator) checkClass(c model.Class) {
 	switch c {
 	case model.ClassUrgent, model.ClassNormal, model.ClassLow:
 	default:
@@ -225,23 +227,23 @@
 	}
 }
 
-func (v *validator) policies(policies []model.Policy) {
+func (v *validator) checkPolicies(policies []model.Policy) {
 	for i, p := range policies {
-		v.at(model.ObjectPolicy, p.Name, i)
-		v.team(p.Team)
-		v.within("share", p.Share, 0, maxShare)
-		v.within("limit", p.Limit, 0, maxTasks)
+		v.setObject(model.ObjectPolicy, p.Name, i)
+		v.checkTeam(p.Team)
+		v.checkRange("share", p.Share, 0, maxShare)
+		v.checkRange("limit", p.Limit, 0, maxTaskLimit)
 		if p.Share == 0 && p.Limit == 0 {
 			v.add("share", "expected a share or a limit for these hours")
 		}
-		v.hours(p)
+		v.checkHours(p)
 		if p.TimeZone == "" || p.TimeZone == "Local" {
 			v.add("time_zone", `expected an IANA time zone, such as "Europe/Dublin", got %q`, p.TimeZone)
 		}
 	}
 }
 
-func (v *validator) hours(p model.Policy) {
+func (v *validator) checkHours(p model.Policy) {
 	if p.From < 0 || p.From >= dayLength {
 		v.add("from", `expected a time of day from "00:00" to "23:59"`)
 	}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -9,13 +9,14 @@
 	"pollenbend/internal/tomlfile"
 )
 
-// Bounds of the settings.
+// Bounds of the settings. A number of heartbeats counts intervals of
+// timing.heartbeat.
 const (
-	maxBodyBytes  = 1 << 30
-	maxQueue      = 1 << 20
-	maxPeriod     = 24 * time.Hour
-	beatsToDeath  = 3 // heartbeats that must be missed before an instance counts as dead
-	leaseRenewals = 2 // heartbeats that fit into a worker lease
+	maxBodyBytes          = 1 << 30
+	maxQueue              = 1 << 20
+	maxDuration           = 24 * time.Hour
+	minHeartbeatsToDead   = 3 // missed in a row before an instance is considered dead
+	minHeartbeatsPerLease = 2 // within a worker lease, and within timing.config_freshness
 )
 
 const urlForm = `an http or https URL with an IP number, such as "http://10.0.0.9:7000"`
@@ -52,7 +53,8 @@
 	}
 }
 
-// checkSamePort reports two listeners on one fixed port; port 0 is any free one.
+// checkSamePort reports two listeners on the same address. Port 0 is exempt, since
+// it stands for any free port.
 func checkSamePort(c *tomlfile.Checker, addr string) {
 	if ap, err := netip.ParseAddrPort(addr); err == nil && ap.Port() != 0 {
 		c.Add("listen.peer", "expected an address other than listen.http, got %q", addr)
@@ -75,7 +77,7 @@
 	return err == nil
 }
 
-// checkTLS wants either three files or three PEM texts.
+// checkTLS requires either three file paths or three PEM texts.
 func checkTLS(c *tomlfile.Checker, t TLS) {
 	files := t.CA != "" || t.Cert != "" || t.Key != ""
 	inline := t.CAPEM != "" || t.CertPEM != "" || t.KeyPEM != ""
@@ -100,48 +102,49 @@
 	if l.MaxQueuePerTeam < 1 || l.MaxQueuePerTeam > maxQueue {
 		c.Add("limits.max_queue_per_team", "expected a number from 1 to %d, got %d", maxQueue, l.MaxQueuePerTeam)
 	}
-	checkPeriod(c, "limits.request_timeout", l.RequestTimeout.Duration)
-	checkPeriod(c, "limits.retention", l.Retention.Duration)
-	atLeast(c, period{"limits.retention", l.Retention.Duration}, 1, period{"limits.request_timeout", l.RequestTimeout.Duration})
+	checkDuration(c, "limits.request_timeout", l.RequestTimeout.Duration)
+	checkDuration(c, "limits.retention", l.Retention.Duration)
+	checkAtLeast(c, durationSetting{"limits.retention", l.Retention.Duration}, 1, durationSetting{"limits.request_timeout", l.RequestTimeout.Duration})
 }
 
 func checkTiming(c *tomlfile.Checker, t Timing) {
-	heartbeat := period{"timing.heartbeat", t.Heartbeat.Duration}
-	dead := period{"timing.dead_after", t.DeadAfter.Duration}
-	worker := period{"timing.worker_lease", t.WorkerLease.Duration}
-	task := period{"timing.task_lease", t.TaskLease.Duration}
-	fresh := period{"timing.config_freshness", t.ConfigFreshness.Duration}
-	for _, p := range []period{heartbeat, dead, worker, task, fresh} {
-		checkPeriod(c, p.key, p.length)
+	heartbeat := durationSetting{"timing.heartbeat", t.Heartbeat.Duration}
+	dead := durationSetting{"timing.dead_after", t.DeadAfter.Duration}
+	worker := durationSetting{"timing.worker_lease", t.WorkerLease.Duration}
+	task := durationSetting{"timing.task_lease", t.TaskLease.Duration}
+	fresh := durationSetting{"timing.config_freshness", t.ConfigFreshness.Duration}
+	for _, p := range []durationSetting{heartbeat, dead, worker, task, fresh} {
+		checkDuration(c, p.key, p.value)
 	}
-	atLeast(c, dead, beatsToDeath, heartbeat)
-	atLeast(c, worker, leaseRenewals, heartbeat)
-	atLeast(c, task, 1, worker)
-	atLeast(c, fresh, leaseRenewals, heartbeat)
+	checkAtLeast(c, dead, minHeartbeatsToDead, heartbeat)
+	checkAtLeast(c, worker, minHeartbeatsPerLease, heartbeat)
+	checkAtLeast(c, task, 1, worker)
+	checkAtLeast(c, fresh, minHeartbeatsPerLease, heartbeat)
 }
 
-// period is one duration setting.
-type period struct {
-	key    string
-	length time.Duration
+// durationSetting is a setting of type duration and its key.
+type durationSetting struct {
+	key   string
+	value time.Duration
 }
 
-func checkPeriod(c *tomlfile.Checker, key string, d time.Duration) {
-	if d <= 0 || d > maxPeriod {
+func checkDuration(c *tomlfile.Checker, key string, d time.Duration) {
+	if d <= 0 || d > maxDuration {
 		c.Add(key, "expected a duration over 0s and at most 24h, got %s", d)
 	}
 }
 
-// atLeast wants long to be no shorter than times short.
-func atLeast(c *tomlfile.Checker, long period, times int, short period) {
-	if !c.Sound(long.key, short.key) || long.length >= time.Duration(times)*short.length {
+// checkAtLeast requires long to be at least times short. It skips settings that
+// already have a fault.
+func checkAtLeast(c *tomlfile.Checker, long durationSetting, times int, short durationSetting) {
+	if !c.FaultFree(long.key, short.key) || long.value >= time.Duration(times)*short.value {
 		return
 	}
 	if times == 1 {
-		c.Add(long.key, "expected at least %s, which is %s, got %s", short.key, short.length, long.length)
+		c.Add(long.key, "expected at least %s, which is %s, got %s", short.key, short.value, long.value)
 		return
 	}
-	c.Add(long.key, "expected at least %d times %s, which is %s, got %s", times, short.key, short.length, long.length)
+	c.Add(long.key, "expected at least %d times %s, which is %s, got %s", times, short.key, short.value, long.value)
 }
 
 func checkLevel(c *tomlfile.Checker, level string) {
@@ -152,7 +155,7 @@
 	}
 }
 
-// SlogLevel returns the level as log/slog has it.
+// SlogLevel returns the level as a log/slog level, or LevelInfo if it is unknown.
 func (l Log) SlogLevel() slog.Level {
 	level := slog.LevelInfo
 	if err := level.UnmarshalText([]byte(l.Level)); err != nil {
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -14,7 +14,7 @@
 	"pollenbend/internal/tomlfile"
 )
 
-// row is what the page says of one key.
+// row is the documentation of one key: its form and its default value.
 type row struct {
 	key, form, value string
 }
@@ -31,7 +31,7 @@
 	for _, m := range rowPattern.FindAllStringSubmatch(string(page), -1) {
 		got = append(got, row{m[1], m[2], strings.Trim(m[3], "`")})
 	}
-	require.Equal(t, rowsOfCode(t), got)
+	require.Equal(t, rowsFromCode(t), got)
 
 	example := examplePattern.FindSubmatch(page)
 	require.NotNil(t, example)
@@ -39,9 +39,9 @@
 	require.Empty(t, faults)
 }
 
-// rowsOfCode lists the keys as the code has them: the form from the types, the
-// default from Default, and required keys from the faults of an empty file.
-func rowsOfCode(t *testing.T) []row {
+// rowsFromCode returns the rows that the code defines: forms from the types,
+// defaults from Default, and required keys from the faults of an empty file.
+func rowsFromCode(t *testing.T) []row {
 	data, err := toml.Marshal(Default())
 	require.NoError(t, err)
 	var defaults map[string]map[string]any
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the settings file of an instance: TOML, strict, with a
+// Package settings reads the settings file of an instance: strict TOML, with a
 // unit on every duration and size. docs/SETTINGS.md lists every key.
 package settings
 
@@ -13,10 +13,10 @@
 	"pollenbend/internal/units"
 )
 
-// Fault is one fault of a settings file.
+// Fault is one error in a settings file.
 type Fault = tomlfile.Fault
 
-// Settings is everything an instance learns from its settings file.
+// Settings is the content of an instance's settings file.
 type Settings struct {
 	Instance Instance `toml:"instance" comment:"Who this instance is and where it runs."`
 	Listen   Listen   `toml:"listen" comment:"Addresses this instance listens on."`
@@ -28,7 +28,7 @@
 	Record   Record   `toml:"record" comment:"Event trace for replay."`
 }
 
-// Instance says who the instance is and where it runs.
+// Instance identifies the instance and its location.
 type Instance struct {
 	ID     string `toml:"id"`
 	Region string `toml:"region"`
@@ -36,13 +36,13 @@
 	Rack   string `toml:"rack"`
 }
 
-// Listen holds the addresses the instance listens on, as IP:port.
+// Listen holds the addresses that the instance listens on, as IP:port.
 type Listen struct {
 	HTTP string `toml:"http"`
 	Peer string `toml:"peer"`
 }
 
-// Platform says where the platform's services are.
+// Platform locates the platform's services.
 type Platform struct {
 	LogURL  string `toml:"log_url"`
 	ListURL string `toml:"list_url"`
@@ -50,7 +50,7 @@
 }
 
 // TLS holds the certificate authority and the instance's own certificate and
-// key, either all as file paths or all as PEM text.
+// private key, either all as file paths or all as PEM texts.
 type TLS struct {
 	CA      string `toml:"ca"`
 	Cert    string `toml:"cert"`
@@ -60,38 +60,37 @@
 	KeyPEM  string `toml:"key_pem,multiline"`
 }
 
-// Limits bounds what one instance holds.
+// Limits bounds what one instance stores and how long.
 type Limits struct {
 	MaxBody         units.Size     `toml:"max_body"`
 	MaxQueuePerTeam int            `toml:"max_queue_per_team"`
 	RequestTimeout  units.Duration `toml:"request_timeout"`
-	// Retention is how long a finished request is remembered.
+	// Retention is how long the result of a finished request is kept.
 	Retention units.Duration `toml:"retention"`
 }
 
-// Timing holds the periods of the protocols.
+// Timing holds the intervals and timeouts of the protocols.
 type Timing struct {
 	Heartbeat   units.Duration `toml:"heartbeat"`
 	DeadAfter   units.Duration `toml:"dead_after"`
 	WorkerLease units.Duration `toml:"worker_lease"`
 	TaskLease   units.Duration `toml:"task_lease"`
-	// ConfigFreshness is how long an instance takes work without having heard
-	// of the configuration from the log or a peer.
+	// ConfigFreshness is how long an instance accepts work without confirmation
+	// from the log or a peer that its configuration is current.
 	ConfigFreshness units.Duration `toml:"config_freshness"`
 }
 
-// Log says which log lines are written: debug, info, warn or error and above.
+// Log holds the lowest level that is logged: debug, info, warn or error.
 type Log struct {
 	Level string `toml:"level"`
 }
 
-// Record names the file that the event trace goes to; empty for none.
+// Record holds the path of the event trace file; if empty, no trace is written.
 type Record struct {
 	File string `toml:"file"`
 }
 
-// Default returns the settings with every default in place. The keys without a
-// default are empty.
+// Default returns the default settings. Keys without a default are empty.
 func Default() Settings {
 	return Settings{
 		Platform: Platform{Stream: "pollenbend"},
@@ -116,8 +115,8 @@
 	return units.Duration{Duration: time.Duration(n) * time.Second}
 }
 
-// Load reads the settings file at path. It returns every fault of the file; the
-// settings are to be used only if there is none.
+// Load reads the settings file at path. It returns every fault of the file. The
+// settings may be used only if there is none.
 func Load(path string) (Settings, []Fault) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -126,7 +125,8 @@
 	return Parse(path, data)
 }
 
-// Parse reads settings from data and calls them name in faults.
+// Parse reads settings from data. name identifies the file in faults. It returns
+// every fault; the settings may be used only if there is none.
 func Parse(name string, data []byte) (Settings, []Fault) {
 	r := tomlfile.Decode(name, data, Default)
 	c := r.Check(name)
@@ -134,13 +134,13 @@
 	return r.Value, c.Faults()
 }
 
-// Marshal writes the settings as a TOML file that Parse reads.
+// Marshal encodes the settings as a TOML file that Parse reads.
 func (s Settings) Marshal() ([]byte, error) {
 	data, err := toml.Marshal(s)
 	return data, errors.Wrap(err, "write settings")
 }
 
-// String returns the settings as TOML with the private key left out.
+// String returns the settings as TOML without the text of the private key.
 func (s Settings) String() string {
 	if s.TLS.KeyPEM != "" {
 		s.TLS.KeyPEM = "(hidden)"
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const whole = `
+const validSettings = `
 [instance]
 id = "i1"
 region = "r"
@@ -25,7 +25,7 @@
 `
 
 func TestParseKeepsDefaultsAndRoundTrips(t *testing.T) {
-	s, faults := Parse("s.toml", []byte(whole+"[timing]\nheartbeat = \"250ms\"\n"))
+	s, faults := Parse("s.toml", []byte(validSettings+"[timing]\nheartbeat = \"250ms\"\n"))
 	require.Empty(t, faults)
 	want := Default()
 	require.Equal(t, want.Limits, s.Limits)
@@ -74,16 +74,16 @@
 a = 1
 `
 	_, faults := Parse("s.toml", []byte(text))
-	type at struct {
+	type position struct {
 		line int
 		key  string
 	}
-	var got []at
+	var got []position
 	for _, f := range faults {
 		require.Contains(t, f.Message, "expected", f)
-		got = append(got, at{f.Line, f.Key})
+		got = append(got, position{f.Line, f.Key})
 	}
-	require.Equal(t, []at{
+	require.Equal(t, []position{
 		{2, "instance.id"},
 		{4, "instance.color"},
 		{8, "listen.http"},
@@ -99,7 +99,7 @@
 }
 
 func TestPlatformURLs(t *testing.T) {
-	for raw, sound := range map[string]bool{
+	for raw, valid := range map[string]bool{
 		"https://10.0.0.9":         true,
 		"http://[::1]:7000/base":   true,
 		"http://log.example:7000":  false,
@@ -107,8 +107,8 @@
 		"10.0.0.9:7000":            false,
 		"http://10.0.0.9:7000:1/x": false,
 	} {
-		_, faults := Parse("s.toml", []byte(strings.Replace(whole, `log_url = "http://127.0.0.1:7000"`, `log_url = "`+raw+`"`, 1)))
-		require.Equal(t, sound, len(faults) == 0, "%s: %v", raw, faults)
+		_, faults := Parse("s.toml", []byte(strings.Replace(validSettings, `log_url = "http://127.0.0.1:7000"`, `log_url = "`+raw+`"`, 1)))
+		require.Equal(t, valid, len(faults) == 0, "%s: %v", raw, faults)
 	}
 }
 
@@ -118,7 +118,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("[instance]\nid = \"a\nzone = {x = [1, {y = 2}]}\n[[tls]]\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, faults := Parse("f.toml", data)
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -10,45 +10,46 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxFaults bounds the faults reported for one file.
+// maxFaults is the number of faults after which decoding of a file stops.
 const maxFaults = 100
 
-// Result is a decoded file. Value holds what could be decoded. Broken is set if
-// some of the file was left out because it is no TOML, so that a missing key
-// says nothing.
+// Result is a decoded file. Value holds what could be decoded. HasSyntaxError is
+// set if parts of the file were skipped because they are not valid TOML, so that a
+// key that was not found may still be in the file.
 type Result[T any] struct {
-	Value  T
-	Lines  Lines
-	Faults []Fault
-	Broken bool
+	Value          T
+	Lines          Lines
+	Faults         []Fault
+	HasSyntaxError bool
 }
 
-// Decode decodes data into a value that starts as fresh returns it. A part with
-// a fault is left out and the rest is decoded, until every fault is found.
-func Decode[T any](name string, data []byte, fresh func() T) Result[T] {
+// Decode decodes data over the defaults that newValue returns. Parts with a fault
+// are skipped and the remaining ones decoded, until every fault is found or
+// maxFaults is reached. name identifies the file in faults.
+func Decode[T any](name string, data []byte, newValue func() T) Result[T] {
 	d := decoder{
 		name:   name,
 		data:   bytes.Clone(data),
-		schema: schemaOf(reflect.TypeFor[T]()),
+		schema: newSchema(reflect.TypeFor[T]()),
 	}
-	broken := d.skipSyntaxErrors()
+	hasSyntaxError := d.skipSyntaxErrors()
 	lines := d.lines()
 	d.checkEntries()
-	value := fresh()
+	value := newValue()
 	for len(d.faults) < maxFaults {
-		value = fresh()
+		value = newValue()
 		err := toml.Unmarshal(d.data, &value)
 		if err == nil || !d.skip(err) {
 			break
 		}
 	}
 	Sort(d.faults)
-	return Result[T]{Value: value, Lines: lines, Faults: d.faults, Broken: broken}
+	return Result[T]{Value: value, Lines: lines, Faults: d.faults, HasSyntaxError: hasSyntaxError}
 }
 
 type decoder struct {
 	name    string
-	data    []byte // faulty parts are blanked
+	data    []byte // with faulty parts blanked
 	schema  schema
 	entries []entry
 	faults  []Fault
@@ -58,18 +59,18 @@
 	d.faults = append(d.faults, Fault{File: d.name, Line: line, Key: key, Message: message})
 }
 
-// skipSyntaxErrors blanks each line that is no TOML and reports whether there
-// was one. A broken header takes its table with it.
+// skipSyntaxErrors blanks each line that is not valid TOML and reports whether
+// there was one. The table of an invalid header is blanked with it.
 func (d *decoder) skipSyntaxErrors() bool {
-	for broken := false; ; broken = true {
-		entries, bad := scan(d.data)
+	for found := false; ; found = true {
+		entries, syntaxErr := scan(d.data)
 		d.entries = entries
-		if bad == nil {
-			return broken
+		if syntaxErr == nil {
+			return found
 		}
-		from, until := d.brokenRange(bad.offset)
-		key := keyOfLine(bad.table, d.data[from:])
-		d.add(lineAt(d.data, bad.offset), key, "expected TOML: "+bad.message)
+		from, until := d.brokenRange(syntaxErr.offset)
+		key := keyOfLine(syntaxErr.table, d.data[from:])
+		d.add(lineAt(d.data, syntaxErr.offset), key, "expected TOML: "+syntaxErr.message)
 		if from == until || len(d.faults) >= maxFaults {
 			from, until = 0, len(d.data)
 		}
@@ -77,8 +78,8 @@
 	}
 }
 
-// brokenRange returns the lines to leave out for a syntax error at offset: the
-// last line at or before it that is not blank, with its table if it is a header.
+// brokenRange returns the range of lines to skip for a syntax error at offset: the
+// last non-blank line at or before it, with its table if the line is a header.
 func (d *decoder) brokenRange(offset int) (from, until int) {
 	end := endOfLine(d.data, min(offset, len(d.data)))
 	end = len(bytes.TrimRight(d.data[:end], " \t\r\n"))
@@ -110,7 +111,7 @@
 }
 
 // keyOfLine returns the key that the first line of data sets in a table, or the
-// table that it opens.
+// name of the table if the line is a header.
 func keyOfLine(table string, data []byte) string {
 	line, _, _ := strings.Cut(string(data), "\n")
 	if isHeader([]byte(line)) {
@@ -120,12 +121,12 @@
 	return withoutIndexes(join(table, strings.TrimSpace(key)))
 }
 
-// checkEntries reports every unknown key and every value of a wrong type, and
+// checkEntries reports every unknown key and every value of the wrong type, and
 // blanks their expressions.
 func (d *decoder) checkEntries() {
-	inside := "" // path of an unknown table or of a value with a fault, reported once
+	reported := "" // path of the last entry with a fault; entries below it are skipped
 	for i, e := range d.entries {
-		if isInside(e.path, inside) {
+		if isBelow(e.path, reported) {
 			continue
 		}
 		fault := d.fault(e)
@@ -133,33 +134,33 @@
 			continue
 		}
 		d.add(e.line, withoutIndexes(e.path), fault)
-		inside = e.path
+		reported = e.path
 		d.blankExpression(i)
 	}
 	d.entries, _ = scan(d.data)
 }
 
-// isInside reports whether path lies below parent.
-func isInside(path, parent string) bool {
-	rest, below := strings.CutPrefix(path, parent)
-	return parent != "" && below && rest != "" && (rest[0] == '.' || rest[0] == '[')
+// isBelow reports whether path is below parent. No path is below an empty parent.
+func isBelow(path, parent string) bool {
+	suffix, hasPrefix := strings.CutPrefix(path, parent)
+	return parent != "" && hasPrefix && suffix != "" && (suffix[0] == '.' || suffix[0] == '[')
 }
 
-// fault says what is wrong with the key or the value of e, or nothing.
+// fault describes what is wrong with the key or the value of e, or returns "".
 func (d *decoder) fault(e entry) string {
 	key := withoutIndexes(e.path)
 	f, ok := d.schema.find(key)
 	if !ok {
 		return "unknown key, expected one of " + strings.Join(d.schema.siblings(key), ", ")
 	}
-	if err := f.accepts(e); err != nil {
+	if err := f.check(e); err != nil {
 		return err.Error()
 	}
 	return ""
 }
 
 // skip reports a decoding error and blanks the expression that caused it. It
-// returns false if that expression cannot be found.
+// returns false if it cannot attribute the error to an expression.
 func (d *decoder) skip(err error) bool {
 	var de *toml.DecodeError
 	if !errors.As(err, &de) || len(d.entries) == 0 {
@@ -175,8 +176,8 @@
 	return true
 }
 
-// locate returns the index of the last entry at or before the error's line,
-// where possible one whose key is the error's.
+// locate returns the index of the last entry at or before the error's line. Among
+// entries on the same line it prefers the one with the error's key.
 func (d *decoder) locate(err *toml.DecodeError) int {
 	line, _ := err.Position()
 	after := sort.Search(len(d.entries), func(i int) bool { return d.entries[i].line > line })
@@ -190,8 +191,9 @@
 	return last
 }
 
-// endOf returns where the expression of entry i ends: at the next expression.
-func (d *decoder) endOf(i int) int {
+// expressionEnd returns the offset at which the expression of entry i ends, which
+// is the start of the next expression.
+func (d *decoder) expressionEnd(i int) int {
 	for _, e := range d.entries[i+1:] {
 		if e.depth == 0 {
 			return lineStart(d.data, e.offset)
@@ -200,13 +202,13 @@
 	return len(d.data)
 }
 
-// blankExpression blanks the expression of entry i; a header takes its table
-// with it.
+// blankExpression blanks the expression of entry i, or the whole table if it is a
+// header.
 func (d *decoder) blankExpression(i int) {
 	for i > 0 && d.entries[i].depth > 0 {
 		i--
 	}
-	until := d.endOf(i)
+	until := d.expressionEnd(i)
 	if d.entries[i].table {
 		until = len(d.data)
 		for _, e := range d.entries[i+1:] {
@@ -219,6 +221,7 @@
 	blank(d.data, lineStart(d.data, d.entries[i].offset), until)
 }
 
+// lines returns the line of the first entry of each path.
 func (d *decoder) lines() Lines {
 	lines := Lines{}
 	for _, e := range d.entries {
--- a/internal/tomlfile/fault.go
+++ b/internal/tomlfile/fault.go
@@ -8,24 +8,24 @@
 	"slices"
 )
 
-// Fault is one fault of a file. Line is 0 if the fault has no place in it.
+// Fault is one error in a file. Line is 0 if the error has no position in the file.
 type Fault struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`
 	Key     string `json:"key"`
-	Message string `json:"message"` // what was expected
+	Message string `json:"message"` // states what was expected
 }
 
 // Error implements error in the form "file:line: key: message".
 func (f Fault) Error() string {
-	place := f.File
+	location := f.File
 	if f.Line > 0 {
-		place = fmt.Sprintf("%s:%d", f.File, f.Line)
+		location = fmt.Sprintf("%s:%d", f.File, f.Line)
 	}
 	if f.Key == "" {
-		return fmt.Sprintf("%s: %s", place, f.Message)
+		return fmt.Sprintf("%s: %s", location, f.Message)
 	}
-	return fmt.Sprintf("%s: %s: %s", place, f.Key, f.Message)
+	return fmt.Sprintf("%s: %s: %s", location, f.Key, f.Message)
 }
 
 // Sort orders faults by file, line and key.
@@ -35,70 +35,70 @@
 	})
 }
 
-// Checker collects the faults that a decoded file's values have among
-// themselves.
+// Checker collects the faults of a decoded file: those found in decoding and those
+// found by checks of its values.
 type Checker struct {
-	file   string
-	lines  Lines
-	broken bool
-	faults []Fault
-	bad    map[place]bool
+	file           string
+	lines          Lines
+	hasSyntaxError bool
+	faults         []Fault
+	faulty         map[position]bool
 }
 
-type place struct {
+type position struct {
 	line int
 	key  string
 }
 
-// Check returns a checker that starts with the faults found in decoding.
+// Check returns a checker that already holds the faults found in decoding.
 func (r Result[T]) Check(file string) *Checker {
-	c := &Checker{file: file, lines: r.Lines, broken: r.Broken, faults: r.Faults, bad: map[place]bool{}}
+	c := &Checker{file: file, lines: r.Lines, hasSyntaxError: r.HasSyntaxError, faults: r.Faults, faulty: map[position]bool{}}
 	for _, f := range r.Faults {
-		c.bad[place{f.Line, f.Key}] = true
+		c.faulty[position{f.Line, f.Key}] = true
 	}
 	return c
 }
 
-// Sound reports whether no fault is known at any of paths, so that their values
-// may be compared.
-func (c *Checker) Sound(paths ...string) bool {
+// FaultFree reports whether there is no fault at any of paths, so that their values
+// can be compared.
+func (c *Checker) FaultFree(paths ...string) bool {
 	for _, p := range paths {
-		if c.bad[c.place(p)] {
+		if c.faulty[c.positionOf(p)] {
 			return false
 		}
 	}
 	return true
 }
 
-// Has reports whether path stands in the file.
+// Has reports whether the file contains path.
 func (c *Checker) Has(path string) bool { return c.lines.Has(path) }
 
-// Add reports a fault at path, such as "team[1].share", unless one is known
-// there. The fault's key is the path without indexes.
+// Add adds a fault at path, such as "team[1].share", unless there is one already.
+// The fault's key is the path without indexes.
 func (c *Checker) Add(path, format string, args ...any) {
-	if !c.Sound(path) {
+	if !c.FaultFree(path) {
 		return
 	}
-	at := c.place(path)
-	c.bad[at] = true
+	pos := c.positionOf(path)
+	c.faulty[pos] = true
 	message := fmt.Sprintf(format, args...)
-	c.faults = append(c.faults, Fault{File: c.file, Line: at.line, Key: at.key, Message: message})
+	c.faults = append(c.faults, Fault{File: c.file, Line: pos.line, Key: pos.key, Message: message})
 }
 
-// Require reports a missing value at path, unless the file has parts that could
-// not be read. Message says what was expected.
+// Require adds a fault for a missing value at path, unless the value may be in a
+// part of the file that is not valid TOML. Message states what was expected.
 func (c *Checker) Require(present bool, path, message string) {
-	if !present && !c.broken {
+	if !present && !c.hasSyntaxError {
 		c.Add(path, "missing, %s", message)
 	}
 }
 
-// Faults returns all faults in the order of the file.
+// Faults returns all faults, sorted as by Sort.
 func (c *Checker) Faults() []Fault {
 	Sort(c.faults)
 	return c.faults
 }
 
-func (c *Checker) place(path string) place {
-	return place{line: c.lines.Of(path), key: withoutIndexes(path)}
+func (c *Checker) positionOf(path string) position {
+	return position{line: c.lines.Of(path), key: withoutIndexes(path)}
 }
--- a/internal/tomlfile/scan.go
+++ b/internal/tomlfile/scan.go
@@ -10,7 +10,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Lines maps the paths of a file, such as "team[1].share", to their lines.
+// Lines maps the paths in a file, such as "team[1].share", to line numbers.
 type Lines map[string]int
 
 // Of returns the line of path, or of its nearest parent in the file, or 0.
@@ -24,7 +24,7 @@
 	return 0
 }
 
-// Has reports whether path stands in the file.
+// Has reports whether the file contains path.
 func (l Lines) Has(path string) bool {
 	_, ok := l[path]
 	return ok
@@ -34,33 +34,33 @@
 
 func withoutIndexes(path string) string { return indexPattern.ReplaceAllString(path, "") }
 
-// entry is one key of a file.
+// entry is one key, table header or array element of a file.
 type entry struct {
 	path   string
-	offset int // of the key
+	offset int // of the key, in bytes
 	line   int
 	table  bool // a header such as [tls] or [[team]]
-	depth  int  // of inline tables and arrays around it
+	depth  int  // number of inline tables and arrays around it
 	kind   unstable.Kind
 	text   string // of a scalar value
 }
 
-// maxDepth is the depth of inline tables and arrays down to which keys are
-// looked at. No file that is read here goes so deep.
+// maxDepth is the maximum depth of inline tables and arrays whose keys are scanned.
+// No valid file is nested this deeply.
 const maxDepth = 8
 
-// scanner walks the expressions of a document.
+// scanner collects the entries of a document.
 type scanner struct {
-	parser  unstable.Parser
-	prefix  string         // path of the current table
-	counts  map[string]int // elements of each array of tables so far
-	entries []entry
-	line    int // of offset at
-	at      int
+	parser     unstable.Parser
+	prefix     string         // path of the current table
+	counts     map[string]int // number of elements so far, by array of tables
+	entries    []entry
+	line       int // line of lineOffset
+	lineOffset int // offset that lineOf was last called with
 }
 
-// scan returns the keys of data in order. On a syntax error it also returns the
-// error's offset and message.
+// scan returns the entries of data in order. On a syntax error it returns the
+// entries before it and the error.
 func scan(data []byte) ([]entry, *syntaxError) {
 	s := scanner{counts: map[string]int{}, line: 1}
 	s.parser.Reset(data)
@@ -71,18 +71,18 @@
 	if err == nil {
 		return s.entries, nil
 	}
-	bad := &syntaxError{offset: len(data), table: s.prefix, message: err.Error()}
+	syntaxErr := &syntaxError{offset: len(data), table: s.prefix, message: err.Error()}
 	var pe *unstable.ParserError
 	if errors.As(err, &pe) {
-		bad.offset = int(s.parser.Range(pe.Highlight).Offset)
+		syntaxErr.offset = int(s.parser.Range(pe.Highlight).Offset)
 	}
-	return s.entries, bad
+	return s.entries, syntaxErr
 }
 
-// syntaxError is a place where a document is not TOML.
+// syntaxError is a position at which a document is not valid TOML.
 type syntaxError struct {
 	offset  int
-	table   string // path of the table that it stands in
+	table   string // path of the table around it
 	message string
 }
 
@@ -97,8 +97,8 @@
 	}
 }
 
-// header records a table header and returns its path. Every part that names an
-// array of tables gets the index of its last element.
+// header records a table header and returns its path. Each part of the path that
+// is an array of tables gets the index of the array's last element.
 func (s *scanner) header(e *unstable.Node, array bool) string {
 	path := ""
 	it := e.Key()
@@ -162,15 +162,15 @@
 	s.entries = append(s.entries, e)
 }
 
-// lineOf counts lines from the last place asked for, since offsets rise but for
-// rare steps back.
+// lineOf returns the line of offset. It counts from the last offset it was called
+// with, since offsets almost always increase.
 func (s *scanner) lineOf(offset int) int {
 	data := s.parser.Data()
-	if offset < s.at {
+	if offset < s.lineOffset {
 		return lineAt(data, offset)
 	}
-	s.line += bytes.Count(data[s.at:offset], []byte{'\n'})
-	s.at = offset
+	s.line += bytes.Count(data[s.lineOffset:offset], []byte{'\n'})
+	s.lineOffset = offset
 	return s.line
 }
 
@@ -185,12 +185,13 @@
 	return 1 + bytes.Count(data[:offset], []byte{'\n'})
 }
 
-// lineStart returns the offset at which the line of offset starts.
+// lineStart returns the offset of the start of the line that contains offset.
 func lineStart(data []byte, offset int) int {
 	return 1 + bytes.LastIndexByte(data[:offset], '\n')
 }
 
-// blank replaces data[from:until] by spaces and keeps the line breaks.
+// blank replaces data[from:until] with spaces, except line breaks, so that offsets
+// and line numbers stay the same.
 func blank(data []byte, from, until int) {
 	for i := from; i < until; i++ {
 		if data[i] != '\n' {
--- a/internal/tomlfile/schema.go
+++ b/internal/tomlfile/schema.go
@@ -10,22 +10,24 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Expecter is implemented by values that say how they are written.
+// Expecter is implemented by types that describe their text form, such as
+// "a size with a unit", for error messages.
 type Expecter interface {
 	Expected() string
 }
 
-// Field is one key that a file may hold.
+// Field is one key that a file may contain.
 type Field struct {
 	Key      string // such as "timing.heartbeat"
 	Expected string // such as "a string"
 	Table    bool
-	Open     bool // a table with keys of the file's own
+	Open     bool // a table with arbitrary keys
 
 	typ reflect.Type
 }
 
-// Fields lists the keys of a file that decodes into t, in the order of t.
+// Fields returns the keys of a file that decodes into the struct t, in the order of
+// t's fields.
 func Fields(t reflect.Type) []Field { return appendFields(nil, "", t) }
 
 var (
@@ -41,7 +43,7 @@
 			continue
 		}
 		key := join(prefix, name)
-		list = append(list, field(key, f.Type))
+		list = append(list, newField(key, f.Type))
 		if sub, ok := tableType(f.Type); ok {
 			list = appendFields(list, key, sub)
 		}
@@ -49,7 +51,8 @@
 	return list
 }
 
-// tableType returns the struct that a table or an array of tables decodes into.
+// tableType returns the struct that a table or an array of tables decodes into, and
+// whether t is such a type.
 func tableType(t reflect.Type) (reflect.Type, bool) {
 	if t.Kind() == reflect.Slice {
 		t = t.Elem()
@@ -58,7 +61,7 @@
 	return t, t.Kind() == reflect.Struct && !isText
 }
 
-func field(key string, t reflect.Type) Field {
+func newField(key string, t reflect.Type) Field {
 	if _, ok := tableType(t); ok {
 		form := "a table [" + key + "]"
 		if t.Kind() == reflect.Slice {
@@ -69,10 +72,10 @@
 	if t.Kind() == reflect.Map {
 		return Field{Key: key, Expected: "a table of strings", Table: true, Open: true, typ: t}
 	}
-	return Field{Key: key, Expected: expected(t), typ: t}
+	return Field{Key: key, Expected: expectedForm(t), typ: t}
 }
 
-func expected(t reflect.Type) string {
+func expectedForm(t reflect.Type) string {
 	if t.Implements(expecter) {
 		return reflect.Zero(t).Interface().(Expecter).Expected()
 	}
@@ -84,15 +87,15 @@
 	case reflect.Int, reflect.Int64:
 		return "a whole number"
 	case reflect.Slice:
-		return "a list, each element " + expected(t.Elem())
+		return "a list, each element " + expectedForm(t.Elem())
 	}
 	return "a value of type " + t.Kind().String()
 }
 
-// schema finds the fields of a file by key.
+// schema maps keys to the fields of a file.
 type schema map[string]Field
 
-func schemaOf(t reflect.Type) schema {
+func newSchema(t reflect.Type) schema {
 	s := schema{}
 	for _, f := range Fields(t) {
 		s[f.Key] = f
@@ -100,7 +103,7 @@
 	return s
 }
 
-// find returns the field for key. A key in an open table is a string.
+// find returns the field for key. A key in an open table is a string field.
 func (s schema) find(key string) (Field, bool) {
 	if f, ok := s[key]; ok {
 		return f, true
@@ -109,38 +112,38 @@
 	return Field{Key: key, Expected: "a string", typ: reflect.TypeFor[string]()}, s[parent].Open
 }
 
-// accepts returns an error unless e is a value of the field.
-func (f Field) accepts(e entry) error {
+// check returns an error unless e has a value that the field accepts.
+func (f Field) check(e entry) error {
 	t := f.typ
 	if strings.HasSuffix(e.path, "]") && t.Kind() == reflect.Slice {
 		t = t.Elem()
 	}
 	if reflect.PointerTo(t).Implements(textUnmarshaler) {
-		return f.acceptsText(t, e)
+		return f.checkText(t, e)
 	}
 	if e.kind == unstable.ArrayTable {
 		t = f.typ
 	}
-	if !accepted(t).has(e.kind) {
-		return errors.Newf("expected %s, got %s", f.Expected, article(e.kind))
+	if !acceptedKinds(t).has(e.kind) {
+		return errors.Newf("expected %s, got %s", f.Expected, describeKind(e.kind))
 	}
 	return nil
 }
 
-func (f Field) acceptsText(t reflect.Type, e entry) error {
+func (f Field) checkText(t reflect.Type, e entry) error {
 	switch e.kind {
 	case unstable.String, unstable.Integer, unstable.Float:
 		return reflect.New(t).Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(e.text))
 	}
-	return errors.Newf("expected %s, got %s", f.Expected, article(e.kind))
+	return errors.Newf("expected %s, got %s", f.Expected, describeKind(e.kind))
 }
 
 type kinds []unstable.Kind
 
 func (k kinds) has(kind unstable.Kind) bool { return slices.Contains(k, kind) }
 
-// accepted returns the kinds of TOML value that decode into t.
-func accepted(t reflect.Type) kinds {
+// acceptedKinds returns the kinds of TOML values that decode into t.
+func acceptedKinds(t reflect.Type) kinds {
 	switch t.Kind() {
 	case reflect.String:
 		return kinds{unstable.String}
@@ -159,8 +162,8 @@
 	return nil
 }
 
-// article names a kind of TOML value in a sentence.
-func article(kind unstable.Kind) string {
+// describeKind returns the name of a kind of TOML value for error messages.
+func describeKind(kind unstable.Kind) string {
 	switch kind {
 	case unstable.Array:
 		return "a list"
@@ -178,7 +181,7 @@
 	return "a date or time"
 }
 
-// siblings lists the keys allowed beside key.
+// siblings returns the names of the keys allowed in the table of key, sorted.
 func (s schema) siblings(key string) []string {
 	parent, _ := cutLast(key)
 	var names []string
