--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,5 +1,5 @@
-// Package check finds the faults of the files that operators write, whatever
-// kind of file each is.
+// Package check reports the faults of the files that operators write. It detects
+// the kind of each file from its content.
 package check
 
 import (
@@ -13,7 +13,7 @@
 	"pollenbend/internal/tomlfile"
 )
 
-// Fault is one fault of a file.
+// Fault is one error in a file.
 type Fault = tomlfile.Fault
 
 // Kind is a kind of file.
@@ -27,36 +27,39 @@
 	KindRequests     Kind = "requests"
 )
 
-// sections matches the name of a table of the settings.
-const sections = `(instance|listen|platform|tls|limits|timing|log|record)`
+// settingsTables is a pattern that matches the names of the tables in a settings
+// file.
+const settingsTables = `(instance|listen|platform|tls|limits|timing|log|record)`
 
-// marks holds what tells each kind of file from declarations.
-var marks = []struct {
+// kindPatterns holds the patterns that identify the kinds of files. A file that
+// matches none holds declarations.
+var kindPatterns = []struct {
 	kind    Kind
 	pattern *regexp.Regexp
 }{
-	{KindSettings, regexp.MustCompile(`(?m)^[ \t]*(\[\[?` + sections + `[].]|` + sections + `(\.|[ \t]*=[ \t]*\{))`)},
+	{KindSettings, regexp.MustCompile(`(?m)^[ \t]*(\[\[?` + settingsTables + `[].]|` + settingsTables + `(\.|[ \t]*=[ \t]*\{))`)},
 	{KindPlatform, regexp.MustCompile(`(?m)^[ \t]*\[\[workers\]\]`)},
 	{KindRequests, regexp.MustCompile(`(?m)^[ \t]*\[\[request\]\]`)},
 }
 
-// KindOf tells the kind of a file by its tables.
+// KindOf returns the kind of a file, detected from its tables.
 func KindOf(data []byte) Kind {
-	for _, m := range marks {
-		if m.pattern.Match(data) {
-			return m.kind
+	for _, p := range kindPatterns {
+		if p.pattern.Match(data) {
+			return p.kind
 		}
 	}
 	return KindDeclarations
 }
 
-// Files returns every fault of the files at paths, each taken by itself. A
-// directory stands for its TOML files, whose declarations are taken together.
+// Files returns every fault of the files at paths, each of which is checked on its
+// own. For a directory it checks the TOML files in it, and its declarations files
+// together.
 func Files(paths []string) []Fault {
 	var faults []Fault
 	for _, path := range paths {
 		if info, err := os.Stat(path); err == nil && info.IsDir() {
-			faults = append(faults, directory(path)...)
+			faults = append(faults, checkDirectory(path)...)
 			continue
 		}
 		data, err := os.ReadFile(path)
@@ -85,7 +88,8 @@
 	return faults
 }
 
-func directory(dir string) []Fault {
+// checkDirectory returns every fault of the TOML files in dir.
+func checkDirectory(dir string) []Fault {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 	if err != nil || len(paths) == 0 {
 		return []Fault{{File: dir, Message: "expected a directory with TOML files"}}
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -13,7 +13,7 @@
 	name    string
 	line    int
 	key     string
-	message string // a part of it
+	message string // substring of the message
 }{
 	{"settings-unknown-key", 20, "limits.max_size", "unknown key"},
 	{"settings-unknown-table", 19, "quotas", "unknown key"},
@@ -55,11 +55,11 @@
 	}
 	paths, err := filepath.Glob(filepath.Join(brokenDir, "*.toml"))
 	require.NoError(t, err)
-	require.Len(t, paths, len(broken), "every broken file is in the table")
+	require.Len(t, paths, len(broken), "each file in testdata/broken must have a row in the table")
 	require.Len(t, Files(paths), len(broken))
 }
 
-func TestSoundFiles(t *testing.T) {
+func TestValidFiles(t *testing.T) {
 	for _, name := range []string{"guild", "styrkeled"} {
 		require.Empty(t, Files([]string{"../../examples/" + name}))
 	}
