--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,6 +1,6 @@
-// Package units holds amounts that people write with a unit: durations, sizes,
-// processor shares and hours of the day. Every type reads and writes text, so
-// that it can stand in a TOML file.
+// Package units defines quantities with a text form: durations, sizes, amounts of
+// CPU and times of day. Every type marshals to and from text, for use in TOML
+// files.
 package units
 
 import (
@@ -12,12 +12,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Duration is a length of time written as "500ms", "3s" or "1h30m".
+// Duration is a time.Duration written as "500ms", "3s" or "1h30m".
 type Duration struct {
 	time.Duration `toml:"-"`
 }
 
-// Expected says how a duration is written.
+// Expected describes the text form of a duration for error messages.
 func (Duration) Expected() string { return `a duration with a unit, such as "500ms", "3s" or "10m"` }
 
 // UnmarshalText implements encoding.TextUnmarshaler. It returns an error if the
@@ -34,7 +34,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(FormatDuration(d.Duration)), nil }
 
-// FormatDuration writes d without zero parts: "10m" rather than "10m0s".
+// FormatDuration formats d without trailing zero parts: "10m" rather than "10m0s".
 func FormatDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
@@ -46,7 +46,8 @@
 	return s
 }
 
-// hasUnit reports whether text ends in a letter; a bare "0" does not.
+// hasUnit reports whether text ends in something other than a digit, unlike the
+// bare "0" that time.ParseDuration accepts.
 func hasUnit(text []byte) bool {
 	return len(text) > 0 && (text[len(text)-1] < '0' || text[len(text)-1] > '9')
 }
@@ -68,11 +69,11 @@
 	Bytes int64 `toml:"-"`
 }
 
-// Expected says how a size is written.
+// Expected describes the text form of a size for error messages.
 func (Size) Expected() string { return `a size with a unit, such as "512KiB", "16MiB" or "64GiB"` }
 
 // UnmarshalText implements encoding.TextUnmarshaler. It returns an error if the
-// unit is missing or unknown, or if the number is not a whole one.
+// unit is missing or unknown, or if the number is negative or not an integer.
 func (s *Size) UnmarshalText(text []byte) error {
 	for _, u := range sizeUnits {
 		number, ok := strings.CutSuffix(string(text), u.name)
@@ -102,19 +103,19 @@
 // MarshalText implements encoding.TextMarshaler.
 func (s Size) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// milliPerCore is the number of thousandths in one processor core.
+// milliPerCore is the number of thousandths of a core in one core.
 const milliPerCore = 1000
 
-// maxCores bounds a processor amount, so that sums over a fleet do not overflow.
+// maxCores is the maximum amount of CPU, so that sums over a fleet do not overflow.
 const maxCores = 1_000_000
 
-// CPU is an amount of processor written in cores (2, 0.5) or thousandths of a
+// CPU is an amount of CPU written in cores (2, 0.5) or thousandths of a
 // core ("500m").
 type CPU struct {
 	Milli int64 `toml:"-"`
 }
 
-// Expected says how a processor amount is written.
+// Expected describes the text form of an amount of CPU for error messages.
 func (CPU) Expected() string { return `cores as a number, such as 2 or 0.5, or thousandths as "500m"` }
 
 // UnmarshalText implements encoding.TextUnmarshaler. It returns an error if the
@@ -128,6 +129,7 @@
 	return nil
 }
 
+// parseMilli parses an amount of CPU and returns it in thousandths of a core.
 func parseMilli(s string) (int64, error) {
 	if number, ok := strings.CutSuffix(s, "m"); ok {
 		n, err := strconv.ParseInt(number, 10, 64)
@@ -158,17 +160,17 @@
 // MarshalText implements encoding.TextMarshaler.
 func (c CPU) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
 
-// TimeOfDay is a time since local midnight written as "17:30". The end of the
-// day is "24:00".
+// TimeOfDay is a local time of day as the time since midnight, written as "17:30".
+// The end of the day is "24:00".
 type TimeOfDay struct {
 	time.Duration `toml:"-"`
 }
 
-// Expected says how a time of day is written.
+// Expected describes the text form of a time of day for error messages.
 func (TimeOfDay) Expected() string { return `a time of day from "00:00" to "24:00"` }
 
 // UnmarshalText implements encoding.TextUnmarshaler. It returns an error unless
-// text is hours and minutes.
+// text is hours and minutes, such as "17:30".
 func (t *TimeOfDay) UnmarshalText(text []byte) error {
 	if string(text) == "24:00" {
 		t.Duration = 24 * time.Hour
@@ -182,12 +184,13 @@
 	return nil
 }
 
-// String returns the time of day as hours and minutes.
+// String returns the time of day as HH:MM.
 func (t TimeOfDay) String() string {
 	hours, minutes := t.Duration/time.Hour, t.Duration%time.Hour/time.Minute
 	return pad(int64(hours)) + ":" + pad(int64(minutes))
 }
 
+// pad formats n with at least two digits.
 func pad(n int64) string {
 	if n < 10 {
 		return "0" + strconv.FormatInt(n, 10)
--- a/internal/units/units_test.go
+++ b/internal/units/units_test.go
@@ -13,13 +13,13 @@
 }
 
 func TestUnits(t *testing.T) {
-	fresh := map[string]func() text{
+	newValue := map[string]func() text{
 		"duration": func() text { return new(Duration) },
 		"size":     func() text { return new(Size) },
 		"cpu":      func() text { return new(CPU) },
 		"time":     func() text { return new(TimeOfDay) },
 	}
-	for _, tt := range []struct{ kind, in, out string }{ // out is empty if in is refused
+	for _, tt := range []struct{ kind, in, out string }{ // out is empty if in is invalid
 		{"duration", "500ms", "500ms"},
 		{"duration", "90s", "1m30s"},
 		{"duration", "600s", "10m"},
@@ -51,7 +51,7 @@
 		{"time", "24:01", ""},
 		{"time", "17", ""},
 	} {
-		v := fresh[tt.kind]()
+		v := newValue[tt.kind]()
 		err := v.UnmarshalText([]byte(tt.in))
 		if tt.out == "" {
 			require.Error(t, err, "%s %q", tt.kind, tt.in)
