--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict says what is known about the effect of a request: whether it
-// ran, certainly did not run, or may have run.
+// Package verdict defines verdicts, which state what is known about the effect of a
+// request: it ran, it certainly did not run, or it may have run.
 package verdict
 
 import (
@@ -9,20 +9,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Verdict tells a caller whether its request may have had an effect. Only
-// NotRun may be retried as a new request.
+// Verdict states whether a request may have had an effect. Only a request with the
+// verdict NotRun may be retried as a new request.
 type Verdict uint8
 
 const (
-	// MayHaveRun is the zero value, so that a forgotten verdict never claims
-	// more than is known.
+	// MayHaveRun means it is unknown whether the request ran. It is the zero
+	// value, so that an unset verdict never claims more than is known.
 	MayHaveRun Verdict = iota
 	// Done means the request ran once and its answer is complete.
 	Done
 	// NotRun means the request had no effect and never will.
 	NotRun
-	// Pending means the request is accepted and its final verdict is still to
-	// come. It appears in status answers only.
+	// Pending means the request is accepted and its final verdict is not known
+	// yet. It appears in status answers only.
 	Pending
 )
 
@@ -51,7 +51,7 @@
 	return errors.Newf("unknown verdict %q", text)
 }
 
-// Code is a stable machine-readable reason, as listed in docs/API.md.
+// Code is a stable machine-readable reason. docs/API.md lists the codes.
 type Code string
 
 // Codes shared by the services.
@@ -75,8 +75,8 @@
 	CodeStaleAuthority Code = "stale_authority"
 )
 
-// Error is an error with a verdict. RetryAfter, when positive, is the time the
-// caller should wait before it asks again.
+// Error is an error with a verdict. RetryAfter, if positive, is the time that the
+// caller should wait before it retries.
 type Error struct {
 	Verdict    Verdict
 	Code       Code
@@ -87,7 +87,7 @@
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%s (%s): %s", e.Code, e.Verdict, e.Message) }
 
-// Refuse returns an Error whose verdict is NotRun.
+// Refuse returns an Error with the verdict NotRun and a formatted message.
 func Refuse(code Code, format string, args ...any) *Error {
 	return &Error{Verdict: NotRun, Code: code, Message: fmt.Sprintf(format, args...)}
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait lets time pass until a context ends or something happens.
+// Package wait waits for a duration, unless a context or a channel ends the wait.
 package wait
 
 import (
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// For waits until d has passed or ctx has ended.
+// For waits until d has passed or ctx is done.
 func For(ctx context.Context, d time.Duration) { Until(ctx, nil, d) }
 
-// Until waits until something comes from wake, or it is closed, or d has passed, or
-// ctx has ended. It reports whether wake was the reason. A nil wake never is.
+// Until waits until a value is received from wake or wake is closed, d has passed,
+// or ctx is done. It reports whether wake ended the wait. A nil wake never does.
 func Until(ctx context.Context, wake <-chan struct{}, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
