--- a/internal/declare/keys.go
+++ b/internal/declare/keys.go
@@ -18,12 +18,12 @@
 	changeIDBytes = 16
 )
 
-// NewSecret reads a secret of 256 bits from random and returns it with its
-// SHA-256 hash in hex. It returns an error if the read fails.
+// NewSecret generates a secret of 256 bits from random and returns it with its
+// SHA-256 hash in hex. It returns an error if reading random fails.
 func NewSecret(random io.Reader) (secret, hash string, err error) {
 	raw := make([]byte, secretBytes)
 	if _, err := io.ReadFull(random, raw); err != nil {
-		return "", "", errors.Wrap(err, "draw a secret")
+		return "", "", errors.Wrap(err, "generate a secret")
 	}
 	secret = secretPrefix + base64.RawURLEncoding.EncodeToString(raw)
 	return secret, HashSecret(secret), nil
@@ -36,12 +36,12 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// NewChangeID reads a change id from random and returns it in hex. It returns an
-// error if the read fails.
+// NewChangeID generates a change id from random and returns it in hex. It returns an
+// error if reading random fails.
 func NewChangeID(random io.Reader) (string, error) {
 	raw := make([]byte, changeIDBytes)
 	if _, err := io.ReadFull(random, raw); err != nil {
-		return "", errors.Wrap(err, "draw a change id")
+		return "", errors.Wrap(err, "generate a change id")
 	}
 	return hex.EncodeToString(raw), nil
 }
