--- a/cmd/pollenbend/main.go
+++ b/cmd/pollenbend/main.go
@@ -1,4 +1,4 @@
-// Command pollenbend is a cluster scheduler for unlike workloads.
+// Command pollenbend is a cluster scheduler for heterogeneous workloads.
 package main
 
 import (
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -45,7 +45,7 @@
 	case <-ctx.Done():
 		i.Shutdown()
 		return ExitDone
-	case <-i.DrainAsked():
+	case <-i.DrainRequested():
 		i.Shutdown()
 		return ExitDone
 	case err := <-i.Failed():
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,4 +1,4 @@
-// Package instance runs one instance of the system from its settings: the node,
+// Package instance runs one instance of the scheduler from its settings: the node,
 // its connections to the platform and its HTTP server.
 package instance
 
@@ -25,59 +25,59 @@
 
 // Instance is a running instance.
 type Instance struct {
-	node   *node.Node
-	server *http.Server
-	info   platform.Instance
-	logger *slog.Logger
-	failed chan error
-	record *os.File // event trace, or nil
+	node      *node.Node
+	server    *http.Server
+	info      platform.Instance
+	logger    *slog.Logger
+	failed    chan error
+	traceFile *os.File // event trace, or nil
 }
 
 const (
-	// drainTimeout bounds a graceful shutdown.
+	// drainTimeout is the maximum duration of a drain.
 	drainTimeout = 30 * time.Second
-	// drainNotice is how long a draining instance goes on taking requests, so
-	// that the balancer sees its /readyz fail before connections are refused.
-	drainNotice = 2 * time.Second
-	// closeTimeout bounds the wait for open HTTP answers after a drain.
-	closeTimeout = 5 * time.Second
+	// readinessGracePeriod is how long a draining instance still accepts requests,
+	// so that the load balancer sees /readyz fail before connections are refused.
+	readinessGracePeriod = 2 * time.Second
+	// httpCloseTimeout is the maximum wait for open HTTP requests after a drain.
+	httpCloseTimeout = 5 * time.Second
 )
 
-// Start starts an instance. Its addresses may end in port 0; Info tells the ones
-// in use.
+// Start starts an instance. Its listen addresses may have port 0; Info returns the
+// addresses in use.
 func Start(s settings.Settings, logger *slog.Logger) (*Instance, error) {
 	identity, err := loadIdentity(s.TLS)
 	if err != nil {
 		return nil, err
 	}
-	record, err := openRecord(s.Record.File)
+	traceFile, err := openTraceFile(s.Record.File)
 	if err != nil {
 		return nil, err
 	}
 	listener, err := net.Listen("tcp", s.Listen.HTTP)
 	if err != nil {
-		closeRecord(record)
+		closeTraceFile(traceFile)
 		return nil, errors.Wrapf(err, "listen on %q", s.Listen.HTTP)
 	}
 	logger = logger.With("instance", s.Instance.ID)
 	registry := gometrics.NewRegistry()
-	self := selfOf(s)
+	self := instanceInfo(s)
 	config := node.Config{
-		Self: self, Timing: timingOf(s), Listen: s.Listen.Peer, Identity: identity,
+		Self: self, Timing: eventTiming(s), Listen: s.Listen.Peer, Identity: identity,
 		Log: httpclient.NewLog(s.Platform.LogURL), Stream: s.Platform.Stream,
 		List: httpclient.NewInstanceList(s.Platform.ListURL), Workers: httpclient.NewWorkers(),
 		Logger: logger, Metrics: registry,
 	}
-	if record != nil {
-		config.Record = record
+	if traceFile != nil {
+		config.Record = traceFile
 	}
 	n, err := node.Start(config)
 	if err != nil {
 		_ = listener.Close()
-		closeRecord(record)
+		closeTraceFile(traceFile)
 		return nil, err
 	}
-	i := &Instance{node: n, info: self, logger: logger, failed: make(chan error, 1), record: record}
+	i := &Instance{node: n, info: self, logger: logger, failed: make(chan error, 1), traceFile: traceFile}
 	i.info.HTTPAddr, i.info.PeerAddr = listener.Addr().String(), n.PeerAddr()
 	i.server = httpapi.NewServer(
 		httpapi.ServerConfig{RequestTimeout: s.Limits.RequestTimeout.Duration, Logger: logger},
@@ -97,44 +97,46 @@
 	}
 }
 
-// Info describes the instance with the addresses in use.
+// Info returns the instance's description with the addresses in use.
 func (i *Instance) Info() platform.Instance { return i.info }
 
-// Failed delivers the error that ended the HTTP server, if one did.
+// Failed returns a channel that receives the error with which the HTTP server
+// failed.
 func (i *Instance) Failed() <-chan error { return i.failed }
 
-// DrainAsked delivers when an operator has asked for a graceful shutdown.
-func (i *Instance) DrainAsked() <-chan struct{} { return i.node.DrainAsked() }
+// DrainRequested returns a channel that receives a value when an operator has
+// requested a graceful shutdown.
+func (i *Instance) DrainRequested() <-chan struct{} { return i.node.DrainRequested() }
 
-// Ready reports whether the instance takes work, and if not, why.
+// Ready reports whether the instance accepts work, and the reason if it does not.
 func (i *Instance) Ready() (bool, string) { return i.node.Ready() }
 
 // Shutdown drains the instance, closes its HTTP server and stops its node.
 func (i *Instance) Shutdown() {
-	notice := time.NewTimer(drainNotice)
+	readinessTimer := time.NewTimer(readinessGracePeriod)
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	i.node.Drain(ctx)
-	<-notice.C
+	<-readinessTimer.C
 	i.node.Drain(ctx)
 	cancel()
-	ctx, cancel = context.WithTimeout(context.Background(), closeTimeout)
+	ctx, cancel = context.WithTimeout(context.Background(), httpCloseTimeout)
 	defer cancel()
 	if err := i.server.Shutdown(ctx); err != nil {
-		i.logger.Warn("close HTTP server", "error", err)
+		i.logger.Warn("failed to close the HTTP server", "error", err)
 	}
 	i.node.Stop()
-	closeRecord(i.record)
+	closeTraceFile(i.traceFile)
 	i.logger.Info("instance stopped")
 }
 
-// Kill stops the instance at once.
+// Kill stops the instance immediately, without a drain.
 func (i *Instance) Kill() {
 	_ = i.server.Close()
 	i.node.Stop()
-	closeRecord(i.record)
+	closeTraceFile(i.traceFile)
 }
 
-func selfOf(s settings.Settings) platform.Instance {
+func instanceInfo(s settings.Settings) platform.Instance {
 	return platform.Instance{
 		ID:          model.InstanceID(s.Instance.ID),
 		Incarnation: model.Incarnation(time.Now().UnixNano()),
@@ -143,7 +145,7 @@
 	}
 }
 
-func timingOf(s settings.Settings) event.Timing {
+func eventTiming(s settings.Settings) event.Timing {
 	return event.Timing{
 		Heartbeat:       s.Timing.Heartbeat.Duration,
 		DeadAfter:       s.Timing.DeadAfter.Duration,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs a decision core: one goroutine owns the core, others carry
-// out its actions on the network and bring the results back as events.
+// Package node runs a decision core. One goroutine owns the core; others carry out
+// its actions on the network and post the results to it as events.
 package node
 
 import (
@@ -22,37 +22,39 @@
 	"pollenbend/internal/wire"
 )
 
-// Config configures a node.
+// Config holds the settings and the dependencies of a node.
 type Config struct {
 	Self     platform.Instance
 	Timing   event.Timing
 	Listen   string // UDP address for peers
 	Identity transport.Identity
 	Log      platform.Log
-	Stream   string // of the log
+	Stream   string // name of the log stream
 	List     platform.InstanceList
 	Workers  platform.Workers
 	Logger   *slog.Logger
 	Metrics  gometrics.Registry
-	Record   io.Writer // gets the trace of events for replay, unless nil
+	Record   io.Writer // receives the event trace for replay; nil records nothing
 }
 
 const (
-	inboxSize    = 16384
+	inboxSize    = 16384 // events, and as many queued appends
 	tickInterval = 20 * time.Millisecond
-	// listInterval is the time between reads of the instance list. It bounds,
-	// with the list's own lag, how long a leaving worker still gets work.
+	// listInterval is the time between reads of the instance list. Together with
+	// the list's own lag it bounds how long a leaving worker still receives work.
 	listInterval = 2 * time.Second
-	// An instance reads the list more often at first, to meet the others soon.
-	firstListInterval = 300 * time.Millisecond
-	firstListTime     = 5 * time.Second
-	readWait          = time.Second
-	readLimit         = 512
-	readRetry         = 200 * time.Millisecond
-	callTimeout       = 2 * time.Second
+	// During startupListWindow after its start an instance reads the list every
+	// startupListInterval, so that it connects to its peers early.
+	startupListInterval = 300 * time.Millisecond
+	startupListWindow   = 5 * time.Second
+	logReadWait         = time.Second
+	maxReadEntries      = 512
+	logRetryDelay       = 200 * time.Millisecond
+	callTimeout         = 2 * time.Second
 )
 
-// Node is a running instance.
+// Node is a running decision core with its connections to peers, the log, the
+// instance list and the workers.
 type Node struct {
 	cfg       Config
 	core      *core.Core
@@ -65,20 +67,20 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	handles atomic.Uint64
-	mu      sync.Mutex
-	callers map[uint64]chan model.Answer
-	up      map[model.InstanceID]model.Incarnation
+	handles        atomic.Uint64
+	mu             sync.Mutex
+	callers        map[uint64]chan model.Answer
+	connectedPeers map[model.InstanceID]model.Incarnation
 
-	view       atomic.Pointer[View]
-	draining   atomic.Bool
-	drainAsked chan struct{}
-	probe      probe
-	stats      stats
-	trace      *trace
+	view           atomic.Pointer[View]
+	draining       atomic.Bool
+	drainRequested chan struct{}
+	probe          probe
+	stats          stats
+	trace          *trace
 }
 
-// Start starts a node. Stop ends it.
+// Start starts a node. The caller must call Stop to release its resources.
 func Start(cfg Config) (*Node, error) {
 	if cfg.Metrics == nil {
 		cfg.Metrics = gometrics.NewRegistry()
@@ -90,11 +92,11 @@
 	}
 	n := &Node{
 		cfg: cfg, core: c, started: time.Now(),
-		inbox:      make(chan event.Event, inboxSize),
-		appends:    make(chan event.Append, inboxSize),
-		callers:    make(map[uint64]chan model.Answer),
-		up:         make(map[model.InstanceID]model.Incarnation),
-		drainAsked: make(chan struct{}, 1),
+		inbox:          make(chan event.Event, inboxSize),
+		appends:        make(chan event.Append, inboxSize),
+		callers:        make(map[uint64]chan model.Answer),
+		connectedPeers: make(map[model.InstanceID]model.Incarnation),
+		drainRequested: make(chan struct{}, 1),
 	}
 	n.view.Store(&View{})
 	if n.trace, err = newTrace(cfg, options, c); err != nil {
@@ -120,19 +122,19 @@
 	return n, nil
 }
 
-// Stop ends the node at once. Drain first for a graceful shutdown.
+// Stop stops the node immediately. Call Drain first for a graceful shutdown.
 func (n *Node) Stop() {
 	n.cancel()
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if err := n.transport.Close(ctx); err != nil {
-		n.cfg.Logger.Warn("close transport", "error", err)
+		n.cfg.Logger.Warn("failed to close the transport", "error", err)
 	}
 	n.wg.Wait()
 }
 
-// Drain starts a graceful shutdown and waits until nothing is left to finish or
-// ctx ends.
+// Drain starts a graceful shutdown and returns when all open work is finished or
+// handed over, or when ctx ends.
 func (n *Node) Drain(ctx context.Context) {
 	n.draining.Store(true)
 	n.post(event.DrainStarted{})
@@ -152,8 +154,8 @@
 
 func (n *Node) now() time.Duration { return time.Since(n.started) }
 
-// post hands an event to the core. It waits while the inbox is full, so that the
-// network slows down and nothing is lost in between.
+// post hands an event to the core. It blocks while the inbox is full, which slows
+// down the reads from the network instead of dropping events.
 func (n *Node) post(e event.Event) {
 	select {
 	case n.inbox <- e:
@@ -161,7 +163,7 @@
 	}
 }
 
-// loop is the goroutine that owns the core.
+// loop runs the core; its goroutine is the only one that accesses it.
 func (n *Node) loop() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -171,9 +173,9 @@
 			n.trace.flush()
 			return
 		case e := <-n.inbox:
-			n.step(e)
+			n.handleEvent(e)
 		case <-ticker.C:
-			n.step(event.Tick{Wall: time.Now().UTC()})
+			n.handleEvent(event.Tick{Wall: time.Now().UTC()})
 			n.trace.flush()
 			v := n.probe.view(n.draining.Load())
 			n.view.Store(v)
@@ -182,17 +184,17 @@
 	}
 }
 
-func (n *Node) step(e event.Event) {
+func (n *Node) handleEvent(e event.Event) {
 	now := n.now()
 	n.trace.record(now, e)
 	actions := n.core.Step(now, e)
-	n.stats.steps.Update(n.now() - now)
+	n.stats.stepDuration.Update(n.now() - now)
 	for _, a := range actions {
-		n.act(a)
+		n.execute(a)
 	}
 }
 
-func (n *Node) act(a event.Action) {
+func (n *Node) execute(a event.Action) {
 	switch a := a.(type) {
 	case event.Append:
 		n.queueAppend(a)
@@ -209,39 +211,41 @@
 	case event.Note:
 		n.cfg.Logger.Info(a.Kind, "seq", a.Seq, "subject", a.Subject, "detail", a.Detail, "offset", a.Offset)
 	case event.Drain:
-		n.askDrain()
+		n.requestDrain()
 	}
 }
 
 func (n *Node) send(a event.Send) {
 	payload, err := wire.EncodeMessage(a.Message)
 	if err != nil {
-		n.cfg.Logger.Error("encode message", "to", a.To, "error", err)
+		n.cfg.Logger.Error("failed to encode a peer message", "to", a.To, "error", err)
 		return
 	}
 	if n.transport.Send(a.To, payload) {
 		return
 	}
-	n.stats.unsent.Inc(1)
+	n.stats.unsentMessages.Inc(1)
 	if inc, up := n.incarnation(a.To); up {
-		n.later(event.PeerDown{Peer: wire.Owner{Instance: a.To, Incarnation: inc}})
+		n.postAsync(event.PeerDown{Peer: wire.Owner{Instance: a.To, Incarnation: inc}})
 	}
 }
 
-// later posts an event from the core's own goroutine, which must not wait for
-// itself.
-func (n *Node) later(e event.Event) {
+// postAsync posts an event from the goroutine that owns the core. A blocking post
+// there would deadlock while the inbox is full.
+func (n *Node) postAsync(e event.Event) {
 	n.wg.Go(func() { n.post(e) })
 }
 
+// incarnation returns the incarnation of the connected peer id.
 func (n *Node) incarnation(id model.InstanceID) (model.Incarnation, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	inc, ok := n.up[id]
+	inc, ok := n.connectedPeers[id]
 	return inc, ok
 }
 
-// Do carries a caller's request to the core and returns the whole answer.
+// Do passes a caller's request to the core and returns the complete answer. When
+// ctx or the node ends first, the answer is in doubt: the request may have run.
 func (n *Node) Do(ctx context.Context, r model.Request) model.Answer {
 	handle := n.handles.Add(1)
 	ch := make(chan model.Answer, 1)
@@ -251,7 +255,7 @@
 	select {
 	case n.inbox <- event.RequestIn{Handle: handle, Request: r}:
 	default:
-		n.forget(handle)
+		n.removeCaller(handle)
 		return model.Refusal(r.ID, verdict.Refuse(verdict.CodeOverloaded, "this instance is overloaded").After(time.Second))
 	}
 	select {
@@ -260,7 +264,7 @@
 	case <-ctx.Done():
 	case <-n.ctx.Done():
 	}
-	n.forget(handle)
+	n.removeCaller(handle)
 	n.post(event.RequestGone{Handle: handle})
 	return model.Answer{
 		ID: r.ID, Verdict: verdict.MayHaveRun, Code: verdict.CodeInDoubt,
@@ -268,7 +272,7 @@
 	}
 }
 
-func (n *Node) forget(handle uint64) {
+func (n *Node) removeCaller(handle uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.callers, handle)
@@ -284,18 +288,19 @@
 	}
 }
 
-// askDrain asks whoever runs the node to drain it.
-func (n *Node) askDrain() {
+// requestDrain signals the owner of the node to drain it.
+func (n *Node) requestDrain() {
 	select {
-	case n.drainAsked <- struct{}{}:
+	case n.drainRequested <- struct{}{}:
 	default:
 	}
 }
 
-// DrainAsked delivers when an operator has asked for a graceful shutdown.
-func (n *Node) DrainAsked() <-chan struct{} { return n.drainAsked }
+// DrainRequested returns a channel that receives a value when an operator has
+// requested a graceful shutdown.
+func (n *Node) DrainRequested() <-chan struct{} { return n.drainRequested }
 
-// Ready implements httpapi.Status.
+// Ready implements httpapi.Status. Its answer is as of the last tick.
 func (n *Node) Ready() (bool, string) {
 	v := n.view.Load()
 	return v.Ready, v.Reason
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -7,23 +7,25 @@
 	"pollenbend/internal/wire"
 )
 
-// View is what other goroutines may know of the core, renewed on every tick.
+// View is a snapshot of the core's state for other goroutines. It is replaced on
+// every tick.
 type View struct {
 	Ready   bool
 	Reason  string
 	Drained bool
 
-	Open    int // callers that wait for an answer
-	Busy    int // requests coordinated here that have no final answer
-	Shards  int // owned
-	Holding int // workers whose shards are owned
-	Covered int // workers leased with their state known
-	Free    model.Resources
-	Version uint64 // of the configuration
-	Applied uint64 // offset of the last log entry applied
+	WaitingCallers int // callers waiting for an answer
+	OpenRequests   int // requests coordinated here without a final answer
+	OwnedShards    int // shards owned by this instance
+	HeldWorkers    int // workers whose shards this instance owns
+	LeasedWorkers  int // leased workers whose state is known
+	Free           model.Resources
+	ConfigVersion  uint64 // version of the configuration in force
+	AppliedOffset  uint64 // offset of the last log entry applied
 }
 
-// probe reads a View from the core's services, on the core's goroutine.
+// probe reads a View from the core's services. It may only be used on the
+// goroutine that owns the core.
 type probe struct {
 	config   configProbe
 	owners   ownerProbe
@@ -80,10 +82,10 @@
 	case 2*p.owners.Reachable() < model.Shards:
 		v.Ready, v.Reason = false, "most shards have no reachable owner"
 	}
-	v.Open, v.Busy = p.open.Open(), p.busy.Busy()
-	v.Shards, v.Applied = len(p.owners.Owned()), p.owners.Applied()
-	v.Holding, v.Covered, v.Free = len(p.ledger.Holding()), len(p.ledger.Coverage().Workers), p.ledger.Free()
-	v.Version = p.config.Version()
-	v.Drained = v.Open == 0 && v.Busy == 0 && p.handover.Settled()
+	v.WaitingCallers, v.OpenRequests = p.open.Open(), p.busy.Busy()
+	v.OwnedShards, v.AppliedOffset = len(p.owners.Owned()), p.owners.Applied()
+	v.HeldWorkers, v.LeasedWorkers, v.Free = len(p.ledger.Holding()), len(p.ledger.Coverage().Workers), p.ledger.Free()
+	v.ConfigVersion = p.config.Version()
+	v.Drained = v.WaitingCallers == 0 && v.OpenRequests == 0 && p.handover.Settled()
 	return v
 }
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -9,48 +9,48 @@
 // stats are the metrics of the node and its core. docs/OPERATING.md says which of
 // them are worth an alarm.
 type stats struct {
-	steps   gometrics.Timer   // time of one step of the core
-	unsent  gometrics.Counter // messages without a connection or room in its queue
-	inbox   gometrics.Gauge
-	open    gometrics.Gauge
-	busy    gometrics.Gauge
-	shards  gometrics.Gauge
-	holding gometrics.Gauge
-	covered gometrics.Gauge
-	free    gometrics.Gauge
-	version gometrics.Gauge
-	applied gometrics.Gauge
-	ready   gometrics.Gauge
+	stepDuration   gometrics.Timer   // duration of one step of the core
+	unsentMessages gometrics.Counter // messages dropped for lack of a connection or because its queue was full
+	inboxEvents    gometrics.Gauge
+	waitingCallers gometrics.Gauge
+	openRequests   gometrics.Gauge
+	ownedShards    gometrics.Gauge
+	heldWorkers    gometrics.Gauge
+	leasedWorkers  gometrics.Gauge
+	freeTaskSlots  gometrics.Gauge
+	configVersion  gometrics.Gauge
+	appliedOffset  gometrics.Gauge
+	ready          gometrics.Gauge
 }
 
 func newStats(r gometrics.Registry) stats {
 	gauge := func(name string) gometrics.Gauge { return gometrics.GetOrRegisterGauge(metrics.Name(name), r) }
 	return stats{
-		steps:   gometrics.GetOrRegisterTimer(metrics.Name("core_step_seconds"), r),
-		unsent:  gometrics.GetOrRegisterCounter(metrics.Name("peer_messages_unsent_total"), r),
-		inbox:   gauge("core_inbox_events"),
-		open:    gauge("callers_waiting"),
-		busy:    gauge("requests_open"),
-		shards:  gauge("shards_owned"),
-		holding: gauge("workers_held"),
-		covered: gauge("workers_leased"),
-		free:    gauge("worker_slots_free"),
-		version: gauge("config_version"),
-		applied: gauge("log_offset_applied"),
-		ready:   gauge("ready"),
+		stepDuration:   gometrics.GetOrRegisterTimer(metrics.Name("core_step_seconds"), r),
+		unsentMessages: gometrics.GetOrRegisterCounter(metrics.Name("peer_messages_unsent_total"), r),
+		inboxEvents:    gauge("core_inbox_events"),
+		waitingCallers: gauge("callers_waiting"),
+		openRequests:   gauge("requests_open"),
+		ownedShards:    gauge("shards_owned"),
+		heldWorkers:    gauge("workers_held"),
+		leasedWorkers:  gauge("workers_leased"),
+		freeTaskSlots:  gauge("worker_slots_free"),
+		configVersion:  gauge("config_version"),
+		appliedOffset:  gauge("log_offset_applied"),
+		ready:          gauge("ready"),
 	}
 }
 
-func (s stats) update(v *View, inbox int) {
-	s.inbox.Update(int64(inbox))
-	s.open.Update(int64(v.Open))
-	s.busy.Update(int64(v.Busy))
-	s.shards.Update(int64(v.Shards))
-	s.holding.Update(int64(v.Holding))
-	s.covered.Update(int64(v.Covered))
-	s.free.Update(v.Free.Slots)
-	s.version.Update(int64(v.Version))
-	s.applied.Update(int64(v.Applied))
+func (s stats) update(v *View, inboxLen int) {
+	s.inboxEvents.Update(int64(inboxLen))
+	s.waitingCallers.Update(int64(v.WaitingCallers))
+	s.openRequests.Update(int64(v.OpenRequests))
+	s.ownedShards.Update(int64(v.OwnedShards))
+	s.heldWorkers.Update(int64(v.HeldWorkers))
+	s.leasedWorkers.Update(int64(v.LeasedWorkers))
+	s.freeTaskSlots.Update(v.Free.Slots)
+	s.configVersion.Update(int64(v.ConfigVersion))
+	s.appliedOffset.Update(int64(v.AppliedOffset))
 	s.ready.Update(0)
 	if v.Ready {
 		s.ready.Update(1)
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -11,7 +11,7 @@
 	"pollenbend/internal/service"
 )
 
-// trace records the core's events until a write fails. The zero value records
+// trace records the core's events until a write fails. Its zero value records
 // nothing.
 type trace struct {
 	recorder *replay.Recorder
@@ -32,21 +32,21 @@
 
 func (t *trace) record(at time.Duration, e event.Event) {
 	if t.recorder != nil {
-		t.check(t.recorder.Record(at, e))
+		t.stopOnError(t.recorder.Record(at, e))
 	}
 }
 
 func (t *trace) flush() {
 	if t.recorder != nil {
-		t.check(t.recorder.Flush())
+		t.stopOnError(t.recorder.Flush())
 	}
 }
 
-// check ends the trace at the first error: a trace with a gap replays to other
-// actions.
-func (t *trace) check(err error) {
+// stopOnError ends the trace at the first error, because a trace with a gap replays
+// to different actions.
+func (t *trace) stopOnError(err error) {
 	if err != nil {
 		t.recorder = nil
-		t.logger.Error("the event trace ends here", "error", err)
+		t.logger.Error("failed to write the event trace; recording stops", "error", err)
 	}
 }
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -10,14 +10,14 @@
 	"pollenbend/internal/wire"
 )
 
-// peerHandler turns what the transport delivers into events.
+// peerHandler converts the transport's callbacks to events of the core.
 type peerHandler struct{ n *Node }
 
 // PeerMessage implements transport.Handler.
 func (h peerHandler) PeerMessage(from model.InstanceID, inc model.Incarnation, payload []byte) {
 	m, err := wire.DecodeMessage(payload)
 	if err != nil {
-		h.n.cfg.Logger.Warn("drop message", "from", from, "error", err)
+		h.n.cfg.Logger.Warn("dropped a peer message that could not be decoded", "from", from, "error", err)
 		return
 	}
 	h.n.post(event.PeerMessage{From: wire.Owner{Instance: from, Incarnation: inc}, Message: m})
@@ -27,36 +27,38 @@
 func (h peerHandler) PeerUp(id model.InstanceID, inc model.Incarnation) {
 	h.n.mu.Lock()
 	defer h.n.mu.Unlock()
-	h.n.up[id] = inc
+	h.n.connectedPeers[id] = inc
 }
 
 // PeerDown implements transport.Handler.
 func (h peerHandler) PeerDown(id model.InstanceID, inc model.Incarnation) {
 	h.n.mu.Lock()
-	delete(h.n.up, id)
+	delete(h.n.connectedPeers, id)
 	h.n.mu.Unlock()
 	h.n.post(event.PeerDown{Peer: wire.Owner{Instance: id, Incarnation: inc}})
 }
 
-// readLog follows the log from the first entry that is not applied.
+// readLog polls the log from its first entry on and posts each result, also an
+// empty one, to the core.
 func (n *Node) readLog() {
 	next := uint64(1)
 	for n.ctx.Err() == nil {
-		asked := n.now()
-		ctx, cancel := context.WithTimeout(n.ctx, readWait+callTimeout)
-		batch, err := n.cfg.Log.Read(ctx, n.cfg.Stream, next, readLimit, readWait)
+		askedAt := n.now()
+		ctx, cancel := context.WithTimeout(n.ctx, logReadWait+callTimeout)
+		batch, err := n.cfg.Log.Read(ctx, n.cfg.Stream, next, maxReadEntries, logReadWait)
 		cancel()
 		if err != nil {
-			n.sleep(readRetry)
+			n.sleep(logRetryDelay)
 			continue
 		}
-		n.post(event.LogRead{Entries: batch.Entries, Oldest: batch.Oldest, Next: batch.Next, AskedAt: asked})
+		n.post(event.LogRead{Entries: batch.Entries, Oldest: batch.Oldest, Next: batch.Next, AskedAt: askedAt})
 		if k := len(batch.Entries); k > 0 {
 			next = batch.Entries[k-1].Offset + 1
 		}
 	}
 }
 
+// sleep waits for d or until the node stops.
 func (n *Node) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -66,34 +68,35 @@
 	}
 }
 
-// maxBatch bounds the records in one log entry.
-const maxBatch = 1024
+// maxEntryRecords is the number of records at which a log entry takes no further
+// append.
+const maxEntryRecords = 1024
 
 func (n *Node) queueAppend(a event.Append) {
 	select {
 	case n.appends <- a:
 	default:
-		n.later(event.AppendDone{ID: a.ID, Verdict: verdict.NotRun})
+		n.postAsync(event.AppendDone{ID: a.ID, Verdict: verdict.NotRun})
 	}
 }
 
-// appendLog appends what the core asks for. Everything that has gathered while an
-// append was under way goes into the next entry.
+// appendLog appends the records that the core asks for. Appends that queue up while
+// another one is in progress are batched into the next entry.
 func (n *Node) appendLog() {
 	for {
 		select {
 		case <-n.ctx.Done():
 			return
 		case first := <-n.appends:
-			n.appendBatch(n.gather(first))
+			n.appendBatch(n.collectBatch(first))
 		}
 	}
 }
 
-func (n *Node) gather(first event.Append) []event.Append {
+func (n *Node) collectBatch(first event.Append) []event.Append {
 	batch := []event.Append{first}
 	records := len(first.Records)
-	for records < maxBatch {
+	for records < maxEntryRecords {
 		select {
 		case a := <-n.appends:
 			batch = append(batch, a)
@@ -110,24 +113,24 @@
 	for _, a := range batch {
 		records = append(records, a.Records...)
 	}
-	done := event.AppendDone{Verdict: verdict.NotRun}
+	result := event.AppendDone{Verdict: verdict.NotRun}
 	entry, err := wire.EncodeEntry(records)
 	if err == nil {
 		ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
-		done.Offset, err = n.cfg.Log.Append(ctx, n.cfg.Stream, entry)
+		result.Offset, err = n.cfg.Log.Append(ctx, n.cfg.Stream, entry)
 		cancel()
-		done.Verdict = verdict.Of(err)
+		result.Verdict = verdict.Of(err)
 	}
 	if err != nil {
-		n.cfg.Logger.Warn("append to log", "records", len(records), "verdict", done.Verdict, "error", err)
+		n.cfg.Logger.Warn("append to the log failed", "records", len(records), "verdict", result.Verdict, "error", err)
 	}
 	for _, a := range batch {
-		done.ID = a.ID
-		n.post(done)
+		result.ID = a.ID
+		n.post(result)
 	}
 }
 
-// watchList polls the instance list.
+// watchList polls the instance list and posts each listing to the core.
 func (n *Node) watchList() {
 	for n.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
@@ -137,14 +140,16 @@
 			n.transport.SetPeers(listing.Instances)
 			n.post(event.Listed{Listing: listing})
 		}
-		if n.now() < firstListTime {
-			n.sleep(firstListInterval)
+		if n.now() < startupListWindow {
+			n.sleep(startupListInterval)
 			continue
 		}
 		n.sleep(listInterval)
 	}
 }
 
+// renew sends a renewal to a worker and posts the result. A renewal that releases
+// the lease has no result.
 func (n *Node) renew(a event.Renew) {
 	sentAt := n.now()
 	ctx, cancel := context.WithTimeout(n.ctx, a.Request.Wait+callTimeout)
@@ -163,20 +168,20 @@
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
 	err := n.cfg.Workers.Start(ctx, a.Worker, a.Request)
-	done := event.StartDone{
+	result := event.StartDone{
 		Worker: a.Worker.ID, Lease: a.Request.Lease, Seq: a.Request.Seq,
 		Task: a.Request.Task.ID, Verdict: verdict.Of(err),
 	}
 	if err != nil {
-		done.Reason = err.Error()
+		result.Reason = err.Error()
 	}
-	n.post(done)
+	n.post(result)
 }
 
 func (n *Node) stopTask(a event.Stop) {
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
 	if err := n.cfg.Workers.Stop(ctx, a.Worker, a.Request); err != nil {
-		n.cfg.Logger.Warn("stop task", "worker", a.Worker.ID, "task", a.Request.Task, "error", err)
+		n.cfg.Logger.Warn("stop command failed", "worker", a.Worker.ID, "task", a.Request.Task, "error", err)
 	}
 }
