--- a/internal/httpapi/answer.go
+++ b/internal/httpapi/answer.go
@@ -16,13 +16,14 @@
 	"pollenbend/internal/verdict"
 )
 
-// defaultRetryAfter is advised with 429 and 503 when the core names no time.
+// defaultRetryAfter is the Retry-After of status 429 and 503 when the core gives
+// none.
 const defaultRetryAfter = time.Second
 
-// writeTimeout bounds the time that a caller takes to read its answer.
+// writeTimeout is the maximum time for the caller to read its answer.
 const writeTimeout = 15 * time.Second
 
-// notRunStatus maps the code of a refusal to the HTTP status.
+// notRunStatus maps the code of an answer with verdict not run to the HTTP status.
 var notRunStatus = map[verdict.Code]int{
 	verdict.CodeBadRequest:     http.StatusBadRequest,
 	verdict.CodeUnauthorized:   http.StatusUnauthorized,
@@ -40,7 +41,7 @@
 	verdict.CodeDeadline:       http.StatusGatewayTimeout,
 }
 
-// statusOf maps an answer to the HTTP status.
+// statusOf returns the HTTP status for an answer of the core.
 func statusOf(a model.Answer) int {
 	switch a.Verdict {
 	case verdict.Pending:
@@ -59,6 +60,7 @@
 	return http.StatusGatewayTimeout
 }
 
+// doneStatus returns the HTTP status for an answer with verdict done.
 func doneStatus(code verdict.Code) int {
 	switch code {
 	case verdict.CodeTaskFailed:
@@ -69,12 +71,12 @@
 	return http.StatusOK
 }
 
-// reads reports whether the operation asks about another request.
-func reads(op model.Op) bool { return op == model.OpStatus || op == model.OpCancel }
+// readsRequest reports whether the operation is about an earlier request.
+func readsRequest(op model.Op) bool { return op == model.OpStatus || op == model.OpCancel }
 
-// refusesRead reports whether the code of an answer to a read says that the read
-// itself was refused, which tells nothing of the request that was asked about.
-func refusesRead(code verdict.Code) bool {
+// isReadRefusal reports whether the code means that the read itself was refused.
+// Such an answer says nothing about the request that the read is about.
+func isReadRefusal(code verdict.Code) bool {
 	switch code {
 	case verdict.CodeBadRequest, verdict.CodeUnauthorized, verdict.CodeForbidden, verdict.CodeOverloaded,
 		verdict.CodeUnavailable, verdict.CodeDraining, verdict.CodeStaleAuthority:
@@ -83,47 +85,49 @@
 	return false
 }
 
-// answer writes the core's answer to req. The answer to a read has status 200
-// however the request that it tells of ended.
-func (a *api) answer(w http.ResponseWriter, r *http.Request, req model.Request, ans model.Answer) {
-	a.count(req.Op, ans)
+// writeCoreAnswer writes the core's answer to req. The answer to a read has status
+// 200 whatever the outcome of the request that the read is about.
+func (a *api) writeCoreAnswer(w http.ResponseWriter, r *http.Request, req model.Request, ans model.Answer) {
+	a.countAnswer(req.Op, ans)
 	status := statusOf(ans)
 	switch {
-	case !reads(req.Op) || ans.Verdict == verdict.Pending || ans.Code == verdict.CodeNotFound:
-	case ans.Verdict == verdict.NotRun && refusesRead(ans.Code):
+	case !readsRequest(req.Op) || ans.Verdict == verdict.Pending || ans.Code == verdict.CodeNotFound:
+	case ans.Verdict == verdict.NotRun && isReadRefusal(ans.Code):
 		ans.ID = ""
 	case ans.ID == req.ID:
 		status = http.StatusOK
 	}
-	a.write(w, r, status, ans)
+	a.writeAnswer(w, r, status, ans)
 }
 
-// refuse writes a refusal that the HTTP side decided alone. It has no id: its
-// verdict is about this attempt, not about earlier ones with the same id.
-func (a *api) refuse(w http.ResponseWriter, r *http.Request, err error) {
+// writeRefusal writes a refusal that was decided without the core. It has no id,
+// because its verdict is about this attempt and not about earlier ones with the
+// same id.
+func (a *api) writeRefusal(w http.ResponseWriter, r *http.Request, err error) {
 	var refusal *verdict.Error
 	if !errors.As(err, &refusal) {
 		refusal = verdict.Refuse(verdict.CodeBadRequest, "%s", err)
 	}
 	ans := model.Refusal("", refusal)
 	status := statusOf(ans)
-	if refusal == errSlowBody {
+	if refusal == errBodyTimeout {
 		status = http.StatusRequestTimeout
 	}
-	if exchangeOf(r).unread {
+	if exchangeOf(r).bodyUnread {
 		w.Header().Set("Connection", "close")
 	}
-	a.write(w, r, status, ans)
+	a.writeAnswer(w, r, status, ans)
 }
 
-// write writes an answer with its length, so that a cut one is noticed.
-func (a *api) write(w http.ResponseWriter, r *http.Request, status int, ans model.Answer) {
+// writeAnswer writes an answer with its Content-Length, so that the caller detects
+// a truncated one.
+func (a *api) writeAnswer(w http.ResponseWriter, r *http.Request, status int, ans model.Answer) {
 	if ans.RetryAfter <= 0 && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
 		ans.RetryAfter = defaultRetryAfter
 	}
-	body, err := encode(document(ans))
+	body, err := encodeAnswer(document(ans))
 	if err != nil {
-		a.cfg.Logger.Error("answer not encoded", "id", ans.ID, "error", err)
+		a.cfg.Logger.Error("failed to encode an answer", "id", ans.ID, "error", err)
 		panic(http.ErrAbortHandler)
 	}
 	h := w.Header()
@@ -140,13 +144,14 @@
 	if a.cfg.Status.Draining() {
 		h.Set("Connection", "close")
 	}
-	record(r, ans)
+	recordAnswer(r, ans)
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
 }
 
-// document turns an answer into its JSON form.
+// document converts an answer to its JSON document. A body that is not valid JSON
+// in UTF-8 is sent in base64.
 func document(ans model.Answer) wire.Answer {
 	doc := wire.Answer{
 		ID:           ans.ID,
@@ -169,7 +174,7 @@
 	return doc
 }
 
-func encode(doc wire.Answer) ([]byte, error) {
+func encodeAnswer(doc wire.Answer) ([]byte, error) {
 	var b bytes.Buffer
 	encoder := json.NewEncoder(&b)
 	encoder.SetEscapeHTML(false)
--- a/internal/httpapi/bench_test.go
+++ b/internal/httpapi/bench_test.go
@@ -8,10 +8,10 @@
 	"pollenbend/internal/httpapi/wire"
 )
 
-// BenchmarkCall measures one call from its parsed header to its written answer,
+// BenchmarkCall measures one call from the parsed request to the written answer,
 // without the network and the core.
 func BenchmarkCall(b *testing.B) {
-	h := newAPI(&core{})
+	h := newAPI(&scriptedCore{})
 	const body = `{"queue":"desk","service":"remind","class":"urgent","timeout":"5s","payload":{"client":2041}}`
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/httpapi/body.go
+++ b/internal/httpapi/body.go
@@ -13,50 +13,52 @@
 	"pollenbend/internal/verdict"
 )
 
-// errSlowBody marks a body that did not arrive within the read timeout.
-var errSlowBody = verdict.Refuse(verdict.CodeBadRequest, "body: not received in time")
+// errBodyTimeout is the refusal of a body that did not arrive within the read
+// timeout.
+var errBodyTimeout = verdict.Refuse(verdict.CodeBadRequest, "body: not received in time")
 
-// errBodiesFull is the refusal of a body when too many bytes of others are held.
-var errBodiesFull = verdict.Refuse(verdict.CodeOverloaded, "body: too many bytes held for other requests")
+// errBodyMemoryFull is the refusal of a body while Config.MaxHeld bytes of bodies
+// are held for other requests.
+var errBodyMemoryFull = verdict.Refuse(verdict.CodeOverloaded, "body: too many bytes held for other requests")
 
-// heldBody counts the bytes that it reads against what the instance holds.
-type heldBody struct {
+// countedBody adds the bytes that it reads to the bytes that the instance holds.
+type countedBody struct {
 	io.Reader
-	a *api
-	e *exchange
+	a        *api
+	exchange *exchange
 }
 
 // Read implements io.Reader.
-func (b *heldBody) Read(p []byte) (int, error) {
+func (b *countedBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
-	b.e.held += int64(n)
-	if b.a.held.Add(int64(n)) > b.a.cfg.MaxHeld {
-		return n, errBodiesFull
+	b.exchange.heldBodyBytes += int64(n)
+	if b.a.heldBodyBytes.Add(int64(n)) > b.a.cfg.MaxHeld {
+		return n, errBodyMemoryFull
 	}
 	return n, err
 }
 
-// readBody reads the whole body, up to the limit. What it reads counts as held
-// until the request is answered.
+// readBody reads the whole body, at most Config.MaxBody bytes. The bytes count as
+// held until the request is answered.
 func (a *api) readBody(r *http.Request) ([]byte, error) {
 	e := exchangeOf(r)
-	e.unread = true
+	e.bodyUnread = true
 	if r.ContentLength > a.cfg.MaxBody {
 		return nil, a.tooLarge()
 	}
-	body := &heldBody{Reader: r.Body, a: a, e: e}
+	body := &countedBody{Reader: r.Body, a: a, exchange: e}
 	data, err := io.ReadAll(io.LimitReader(body, a.cfg.MaxBody+1))
 	switch {
-	case errors.Is(err, errBodiesFull):
-		return nil, errBodiesFull
+	case errors.Is(err, errBodyMemoryFull):
+		return nil, errBodyMemoryFull
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, errSlowBody
+		return nil, errBodyTimeout
 	case err != nil:
 		return nil, verdict.Refuse(verdict.CodeBadRequest, "body: ended early")
 	case int64(len(data)) > a.cfg.MaxBody:
 		return nil, a.tooLarge()
 	}
-	e.unread = false
+	e.bodyUnread = false
 	return data, nil
 }
 
@@ -64,12 +66,13 @@
 	return verdict.Refuse(verdict.CodeTooLarge, "body: longer than %d bytes", a.cfg.MaxBody)
 }
 
-// decodeStrict decodes one JSON document and names the field that is wrong.
-func decodeStrict(data []byte, into any) error {
+// decodeStrict decodes exactly one JSON document without unknown fields. The error
+// names the invalid field.
+func decodeStrict(data []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
-		return verdict.Refuse(verdict.CodeBadRequest, "%s", describe(err))
+	if err := decoder.Decode(target); err != nil {
+		return verdict.Refuse(verdict.CodeBadRequest, "%s", describeDecodeError(err))
 	}
 	if _, err := decoder.Token(); err != io.EOF {
 		return verdict.Refuse(verdict.CodeBadRequest, "body: more than one JSON document")
@@ -77,11 +80,12 @@
 	return nil
 }
 
-// unknownField starts the message of encoding/json about an unknown field, whose
-// error has no type of its own.
-const unknownField = "json: unknown field "
+// unknownFieldPrefix starts the message of encoding/json about an unknown field;
+// that error has no type of its own.
+const unknownFieldPrefix = "json: unknown field "
 
-func describe(err error) string {
+// describeDecodeError returns the message for an error of encoding/json.
+func describeDecodeError(err error) string {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		field := wrongType.Field
@@ -93,7 +97,7 @@
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return "body: incomplete JSON"
 	}
-	if name, ok := strings.CutPrefix(err.Error(), unknownField); ok {
+	if name, ok := strings.CutPrefix(err.Error(), unknownFieldPrefix); ok {
 		return strings.Trim(name, `"`) + ": unknown field"
 	}
 	return "body: " + strings.TrimPrefix(err.Error(), "json: ")
--- a/internal/httpapi/check.go
+++ b/internal/httpapi/check.go
@@ -7,12 +7,13 @@
 	"pollenbend/internal/verdict"
 )
 
+// badField returns the refusal of a field or header with an invalid value.
 func badField(field, format string, args ...any) error {
 	return verdict.Refuse(verdict.CodeBadRequest, "%s: %s", field, fmt.Sprintf(format, args...))
 }
 
-// checkID accepts printable ASCII without spaces, other than the path segments
-// that URLs treat specially.
+// checkID accepts printable ASCII without spaces, except "." and "..", which have a
+// special meaning as URL path segments.
 func checkID(field, id string) error {
 	if id == "" || id == "." || id == ".." || len(id) > maxIDBytes {
 		return badField(field, "want 1 to %d characters", maxIDBytes)
--- a/internal/httpapi/docs_test.go
+++ b/internal/httpapi/docs_test.go
@@ -15,8 +15,8 @@
 	"pollenbend/internal/model"
 )
 
-// codes returns the value of every constant of type verdict.Code.
-func codes(t *testing.T) []string {
+// verdictCodes returns the value of every constant of type verdict.Code.
+func verdictCodes(t *testing.T) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "../verdict/verdict.go", nil, 0)
 	require.NoError(t, err)
@@ -35,8 +35,8 @@
 	return found
 }
 
-// fields returns the JSON names of a document's fields.
-func fields(document any) []string {
+// jsonFieldNames returns the JSON names of a document's fields.
+func jsonFieldNames(document any) []string {
 	var names []string
 	for _, f := range reflect.VisibleFields(reflect.TypeOf(document)) {
 		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
@@ -45,20 +45,20 @@
 	return names
 }
 
-func TestPageNamesEverything(t *testing.T) {
+func TestAPIPageCoversRoutesCodesAndFields(t *testing.T) {
 	data, err := os.ReadFile("../../docs/API.md")
 	require.NoError(t, err)
 	page := string(data)
 	for _, r := range Routes() {
 		require.Contains(t, page, "### "+r.Pattern()+"\n")
 	}
-	for _, code := range codes(t) {
+	for _, code := range verdictCodes(t) {
 		if code != "" {
 			require.Contains(t, page, "`"+code+"`")
 		}
 	}
 	for _, document := range []any{wire.Call{}, wire.Job{}, wire.Tickets{}, wire.Answer{}, model.Change{}} {
-		for _, name := range fields(document) {
+		for _, name := range jsonFieldNames(document) {
 			require.Contains(t, page, "`"+name+"`")
 		}
 	}
@@ -68,14 +68,14 @@
 }
 
 func TestEveryCodeHasAStatus(t *testing.T) {
-	runOnly := map[string]bool{"": true, "in_doubt": true, "task_failed": true}
-	for _, code := range codes(t) {
+	withoutStatus := map[string]bool{"": true, "in_doubt": true, "task_failed": true}
+	for _, code := range verdictCodes(t) {
 		status := 0
-		for known, s := range notRunStatus {
-			if string(known) == code {
+		for refusalCode, s := range notRunStatus {
+			if string(refusalCode) == code {
 				status = s
 			}
 		}
-		require.Equal(t, runOnly[code], status == 0, code)
+		require.Equal(t, withoutStatus[code], status == 0, code)
 	}
 }
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -1,5 +1,5 @@
-// Package httpapi is the HTTP side of an instance. It turns HTTP requests into
-// model.Request values, hands them to the core, and writes the answers.
+// Package httpapi is the HTTP API of an instance. It parses HTTP requests into
+// model.Request values, passes them to the core, and writes the answers.
 // docs/API.md describes every route.
 package httpapi
 
@@ -16,18 +16,19 @@
 	"pollenbend/internal/model"
 )
 
-// Gateway carries requests to the core.
+// Gateway passes requests to the core.
 type Gateway interface {
-	// Do returns the whole answer. It returns soon after ctx ends, with the
-	// verdict as far as it is known then.
+	// Do returns the complete answer. When ctx ends first, it returns promptly
+	// with the verdict as far as it is known.
 	Do(ctx context.Context, r model.Request) model.Answer
 }
 
-// Status tells how the instance is.
+// Status reports the readiness of the instance.
 type Status interface {
-	// Ready reports whether the instance takes work, and if not, why.
+	// Ready reports whether the instance accepts work, and the reason if it does
+	// not.
 	Ready() (ok bool, reason string)
-	// Draining reports whether a planned stop has begun.
+	// Draining reports whether a graceful shutdown has begun.
 	Draining() bool
 }
 
@@ -38,23 +39,23 @@
 	DefaultRequestTimeout = 60 * time.Second
 )
 
-// Config configures the API.
+// Config holds the settings and the dependencies of the API.
 type Config struct {
 	Gateway        Gateway
 	Status         Status
-	MaxBody        int64         // bytes of a request's body
-	MaxHeld        int64         // bytes of all bodies held at once
-	RequestTimeout time.Duration // upper bound of what a caller may ask to wait
+	MaxBody        int64         // maximum bytes of one request's body
+	MaxHeld        int64         // maximum bytes of all bodies held at the same time
+	RequestTimeout time.Duration // default and maximum of a caller's timeout
 	Metrics        gometrics.Registry
 	Logger         *slog.Logger
 	InstanceID     model.InstanceID
 }
 
 type api struct {
-	cfg    Config
-	mux    *http.ServeMux
-	held   atomic.Int64 // bytes of bodies that wait for an answer
-	active atomic.Int64 // HTTP requests under way
+	cfg            Config
+	mux            *http.ServeMux
+	heldBodyBytes  atomic.Int64 // bodies of requests that have no answer yet
+	activeRequests atomic.Int64 // HTTP requests in progress
 }
 
 // New returns the handler of all routes.
@@ -78,7 +79,7 @@
 	for _, r := range Routes() {
 		a.mux.HandleFunc(r.Pattern(), r.handle(a))
 	}
-	_ = cfg.Metrics.Register(metrics.Name("http_requests_active"), gometrics.NewFunctionalGauge(a.active.Load))
-	_ = cfg.Metrics.Register(metrics.Name("http_body_bytes_held"), gometrics.NewFunctionalGauge(a.held.Load))
+	_ = cfg.Metrics.Register(metrics.Name("http_requests_active"), gometrics.NewFunctionalGauge(a.activeRequests.Load))
+	_ = cfg.Metrics.Register(metrics.Name("http_body_bytes_held"), gometrics.NewFunctionalGauge(a.heldBodyBytes.Load))
 	return a
 }
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -16,8 +16,8 @@
 	"pollenbend/internal/verdict"
 )
 
-// core is a Gateway and a Status that a test scripts.
-type core struct {
+// scriptedCore is a Gateway and a Status with scripted answers.
+type scriptedCore struct {
 	do       func(context.Context, model.Request) model.Answer
 	last     model.Request
 	calls    int
@@ -25,7 +25,7 @@
 	draining bool
 }
 
-func (c *core) Do(ctx context.Context, r model.Request) model.Answer {
+func (c *scriptedCore) Do(ctx context.Context, r model.Request) model.Answer {
 	c.calls++
 	c.last = r
 	if c.do == nil {
@@ -34,18 +34,18 @@
 	return c.do(ctx, r)
 }
 
-func (c *core) Ready() (bool, string) { return c.notReady == "", c.notReady }
-func (c *core) Draining() bool        { return c.draining }
+func (c *scriptedCore) Ready() (bool, string) { return c.notReady == "", c.notReady }
+func (c *scriptedCore) Draining() bool        { return c.draining }
 
-func answering(a model.Answer) *core {
-	return &core{do: func(context.Context, model.Request) model.Answer { return a }}
+func coreAnswering(a model.Answer) *scriptedCore {
+	return &scriptedCore{do: func(context.Context, model.Request) model.Answer { return a }}
 }
 
-func newAPI(c *core) http.Handler {
+func newAPI(c *scriptedCore) http.Handler {
 	return New(Config{Gateway: c, Status: c, MaxBody: 1 << 10, InstanceID: "entry-1"})
 }
 
-func exchangeWith(t *testing.T, h http.Handler, method, target, body string, headers ...string) (*httptest.ResponseRecorder, wire.Answer) {
+func exchangeJSON(t *testing.T, h http.Handler, method, target, body string, headers ...string) (*httptest.ResponseRecorder, wire.Answer) {
 	t.Helper()
 	r := httptest.NewRequest(method, target, strings.NewReader(body))
 	for i := 0; i < len(headers); i += 2 {
@@ -88,8 +88,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.method+" "+tt.target, func(t *testing.T) {
-			c := &core{}
-			w, doc := exchangeWith(t, newAPI(c), tt.method, tt.target, tt.body, tt.headers...)
+			c := &scriptedCore{}
+			w, doc := exchangeJSON(t, newAPI(c), tt.method, tt.target, tt.body, tt.headers...)
 			require.Equal(t, http.StatusOK, w.Code, w.Body.String())
 			require.Equal(t, tt.want, c.last)
 			require.Equal(t, tt.want.ID, doc.ID)
@@ -133,8 +133,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.method+" "+tt.target+" "+tt.message, func(t *testing.T) {
-			c := &core{}
-			w, doc := exchangeWith(t, newAPI(c), tt.method, tt.target, tt.body, tt.headers...)
+			c := &scriptedCore{}
+			w, doc := exchangeJSON(t, newAPI(c), tt.method, tt.target, tt.body, tt.headers...)
 			require.Equal(t, tt.status, w.Code)
 			require.Contains(t, doc.Message, tt.message)
 			require.Equal(t, verdict.NotRun, doc.Verdict)
@@ -169,7 +169,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			target := map[string]string{"POST": "/v1/requests", "GET": "/v1/requests/i"}[tt.method]
-			w, doc := exchangeWith(t, newAPI(answering(tt.answer)), tt.method, target, `{}`)
+			w, doc := exchangeJSON(t, newAPI(coreAnswering(tt.answer)), tt.method, target, `{}`)
 			require.Equal(t, tt.status, w.Code)
 			require.Equal(t, tt.want, doc)
 			require.Equal(t, int64(w.Body.Len()), w.Result().ContentLength)
--- a/internal/httpapi/parse.go
+++ b/internal/httpapi/parse.go
@@ -11,18 +11,19 @@
 	"pollenbend/internal/verdict"
 )
 
-// answerGrace is what the core gets beyond the caller's timeout to say how the
-// request ended.
-const answerGrace = 500 * time.Millisecond
+// answerMargin is added to the caller's timeout so that the core can still report
+// the outcome of a request that timed out.
+const answerMargin = 500 * time.Millisecond
 
-// maxTickets bounds the tickets of one request.
+// maxTickets is the maximum number of tickets in one answer.
 const maxTickets = 1000
 
-// maxIDBytes bounds a request's or job's id.
+// maxIDBytes is the maximum length of the id of a request, job or change.
 const maxIDBytes = 200
 
-// bearer returns the caller's key, empty when there is none.
-func bearer(r *http.Request) (string, error) {
+// bearerKey returns the key of the Authorization header, or an empty string if the
+// request has no such header.
+func bearerKey(r *http.Request) (string, error) {
 	header := r.Header.Get("Authorization")
 	if header == "" {
 		return "", nil
@@ -34,8 +35,8 @@
 	return strings.TrimSpace(key), nil
 }
 
-// waitLimit is how long the caller of req waits for the answer.
-func (a *api) waitLimit(req model.Request) time.Duration {
+// answerTimeout returns how long the caller of req waits for the answer.
+func (a *api) answerTimeout(req model.Request) time.Duration {
 	if req.Timeout > 0 {
 		return req.Timeout
 	}
@@ -51,7 +52,7 @@
 	if err != nil {
 		return model.Request{}, err
 	}
-	timeout, err := duration("timeout", body.Timeout)
+	timeout, err := parseDuration("timeout", body.Timeout)
 	if err != nil {
 		return model.Request{}, err
 	}
@@ -86,7 +87,7 @@
 	if err != nil {
 		return model.Request{}, err
 	}
-	runTime, err := duration("run_time", body.RunTime)
+	runTime, err := parseDuration("run_time", body.RunTime)
 	if err != nil {
 		return model.Request{}, err
 	}
@@ -180,8 +181,8 @@
 	return value, nil
 }
 
-// duration parses a positive duration; an empty text gives zero.
-func duration(field, text string) (time.Duration, error) {
+// parseDuration parses a positive duration. It returns zero for an empty text.
+func parseDuration(field, text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -192,7 +193,8 @@
 	return d, nil
 }
 
-// callerID returns the ticket or the idempotency key, empty when there is none.
+// callerID returns the ticket or the idempotency key of the request, or an empty
+// string if it has neither.
 func callerID(r *http.Request) (string, error) {
 	for _, name := range []string{wire.HeaderIdempotencyKey, wire.HeaderTicket} {
 		if len(r.Header.Values(name)) > 1 {
@@ -213,10 +215,10 @@
 }
 
 // decode reads the whole body as one JSON document without unknown fields.
-func (a *api) decode(r *http.Request, into any) error {
+func (a *api) decode(r *http.Request, target any) error {
 	data, err := a.readBody(r)
 	if err != nil {
 		return err
 	}
-	return decodeStrict(data, into)
+	return decodeStrict(data, target)
 }
--- a/internal/httpapi/routes.go
+++ b/internal/httpapi/routes.go
@@ -12,8 +12,10 @@
 type Route struct {
 	Method string
 	Path   string
-	// parse makes the core's request; nil for routes that the HTTP side answers.
+	// parse returns the request for the core; nil for routes that are served
+	// without the core.
 	parse func(*api, *http.Request) (model.Request, error)
+	// serve answers a route without the core.
 	serve func(*api, http.ResponseWriter, *http.Request)
 }
 
@@ -55,22 +57,22 @@
 	}
 }
 
-// forward parses the request, asks the core and writes its answer.
+// forward parses the request, passes it to the core and writes the answer.
 func (a *api) forward(w http.ResponseWriter, r *http.Request, parse func(*api, *http.Request) (model.Request, error)) {
-	key, err := bearer(r)
+	key, err := bearerKey(r)
 	if err != nil {
-		a.refuse(w, r, err)
+		a.writeRefusal(w, r, err)
 		return
 	}
 	req, err := parse(a, r)
 	if err != nil {
-		a.refuse(w, r, err)
+		a.writeRefusal(w, r, err)
 		return
 	}
 	req.Key = key
-	ctx, cancel := context.WithTimeout(r.Context(), a.waitLimit(req)+answerGrace)
+	ctx, cancel := context.WithTimeout(r.Context(), a.answerTimeout(req)+answerMargin)
 	defer cancel()
-	a.answer(w, r, req, a.cfg.Gateway.Do(ctx, req))
+	a.writeCoreAnswer(w, r, req, a.cfg.Gateway.Do(ctx, req))
 }
 
 func (a *api) serveHealth(w http.ResponseWriter, _ *http.Request) {
@@ -92,6 +94,6 @@
 func (a *api) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", metrics.ContentType)
 	if err := metrics.Render(w, a.cfg.Metrics); err != nil {
-		a.cfg.Logger.Debug("metrics not written", "error", err)
+		a.cfg.Logger.Debug("failed to write the metrics", "error", err)
 	}
 }
--- a/internal/httpapi/serve.go
+++ b/internal/httpapi/serve.go
@@ -18,16 +18,17 @@
 	"pollenbend/internal/verdict"
 )
 
-// exchange gathers what the log line of one HTTP request says.
+// exchange is the http.ResponseWriter of one HTTP request. It collects the values
+// for the request's log line.
 type exchange struct {
 	http.ResponseWriter
-	status  int
-	bytes   int
-	held    int64 // bytes of the body that count as held
-	unread  bool  // a part of the body was not read
-	id      string
-	verdict verdict.Verdict
-	code    verdict.Code
+	status        int
+	bytesWritten  int
+	heldBodyBytes int64 // bytes of the body that count against Config.MaxHeld
+	bodyUnread    bool  // the body was not read to its end
+	id            string
+	verdict       verdict.Verdict
+	code          verdict.Code
 }
 
 // WriteHeader implements http.ResponseWriter.
@@ -42,7 +43,7 @@
 		e.status = http.StatusOK
 	}
 	n, err := e.ResponseWriter.Write(p)
-	e.bytes += n
+	e.bytesWritten += n
 	return n, err
 }
 
@@ -51,29 +52,30 @@
 
 type exchangeKey struct{}
 
-// exchangeOf returns the exchange that ServeHTTP made for r.
+// exchangeOf returns the exchange that ServeHTTP created for r.
 func exchangeOf(r *http.Request) *exchange {
 	e, _ := r.Context().Value(exchangeKey{}).(*exchange)
 	return e
 }
 
-// record keeps an answer for the log line of r.
-func record(r *http.Request, ans model.Answer) {
+// recordAnswer stores the values of an answer for the log line of r.
+func recordAnswer(r *http.Request, ans model.Answer) {
 	e := exchangeOf(r)
 	e.id, e.verdict, e.code = ans.ID, ans.Verdict, ans.Code
 }
 
-// serial numbers the HTTP requests of this process in its log.
-var serial atomic.Uint64
+// requestCount counts the HTTP requests of this process; its value identifies a
+// request in the log.
+var requestCount atomic.Uint64
 
 // ServeHTTP implements http.Handler.
 func (a *api) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e := &exchange{ResponseWriter: w}
 	r = r.WithContext(context.WithValue(r.Context(), exchangeKey{}, e))
-	pattern := a.pattern(r)
+	pattern := a.routePattern(r)
 	started := time.Now()
-	a.active.Add(1)
-	defer a.finish(e, r, pattern, serial.Add(1), started)
+	a.activeRequests.Add(1)
+	defer a.finish(e, r, pattern, requestCount.Add(1), started)
 	if pattern == "" {
 		a.serveUnknown(e, r)
 		return
@@ -81,9 +83,9 @@
 	a.mux.ServeHTTP(e, r)
 }
 
-// pattern returns the route of r, empty when there is none. A path that the mux
-// would redirect to its clean form has none.
-func (a *api) pattern(r *http.Request) string {
+// routePattern returns the pattern of the route that matches r, or an empty string
+// if none does. A path that the mux would redirect to its clean form matches none.
+func (a *api) routePattern(r *http.Request) string {
 	if escaped := r.URL.EscapedPath(); path.Clean(escaped) != escaped {
 		return ""
 	}
@@ -93,63 +95,64 @@
 
 // serveUnknown answers requests that match no route.
 func (a *api) serveUnknown(w http.ResponseWriter, r *http.Request) {
-	allowed := a.methods(r)
+	allowed := a.allowedMethods(r)
 	if len(allowed) == 0 {
-		a.refuse(w, r, verdict.Refuse(verdict.CodeNotFound, "no such path"))
+		a.writeRefusal(w, r, verdict.Refuse(verdict.CodeNotFound, "no such path"))
 		return
 	}
 	w.Header().Set("Allow", strings.Join(allowed, ", "))
 	ans := model.Refusal("", verdict.Refuse(verdict.CodeBadRequest, "method: want %s", strings.Join(allowed, " or ")))
-	a.write(w, r, http.StatusMethodNotAllowed, ans)
+	a.writeAnswer(w, r, http.StatusMethodNotAllowed, ans)
 }
 
-// methods returns the methods that the path of r is served with.
-func (a *api) methods(r *http.Request) []string {
+// allowedMethods returns the methods that the path of r supports.
+func (a *api) allowedMethods(r *http.Request) []string {
 	var allowed []string
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
-		probe := &http.Request{Method: method, URL: r.URL, Host: r.Host}
-		if a.pattern(probe) != "" {
+		candidate := &http.Request{Method: method, URL: r.URL, Host: r.Host}
+		if a.routePattern(candidate) != "" {
 			allowed = append(allowed, method)
 		}
 	}
 	return allowed
 }
 
-// finish logs and counts one HTTP request. After a panic in a handler it answers
-// that the request may have run.
-func (a *api) finish(e *exchange, r *http.Request, pattern string, number uint64, started time.Time) {
-	failure := recover()
-	a.held.Add(-e.held)
-	a.active.Add(-1)
-	if failure != nil && failure != http.ErrAbortHandler && e.status == 0 {
-		a.cfg.Logger.Error("handler panicked", "request", number, "route", pattern, "panic", failure, "stack", string(debug.Stack()))
+// finish logs one HTTP request and records its metrics. After a panic in a handler
+// it answers that the request may have run.
+func (a *api) finish(e *exchange, r *http.Request, pattern string, requestNumber uint64, started time.Time) {
+	panicValue := recover()
+	a.heldBodyBytes.Add(-e.heldBodyBytes)
+	a.activeRequests.Add(-1)
+	if panicValue != nil && panicValue != http.ErrAbortHandler && e.status == 0 {
+		a.cfg.Logger.Error("handler panicked", "request", requestNumber, "route", pattern, "panic", panicValue, "stack", string(debug.Stack()))
 		ans := model.Answer{Verdict: verdict.MayHaveRun, Code: verdict.CodeInDoubt, Message: "internal error"}
-		a.write(e, r, http.StatusInternalServerError, ans)
-		failure = nil
+		a.writeAnswer(e, r, http.StatusInternalServerError, ans)
+		panicValue = nil
 	}
-	took := time.Since(started)
-	a.observe(pattern, e.status, took)
+	duration := time.Since(started)
+	a.recordMetrics(pattern, e.status, duration)
 	level := slog.LevelDebug
 	if e.status >= http.StatusBadRequest {
 		level = slog.LevelInfo
 	}
 	a.cfg.Logger.Log(r.Context(), level, "http request",
-		"request", number, "method", r.Method, "route", pattern, "status", e.status, "bytes", e.bytes,
-		"id", e.id, "verdict", e.verdict.String(), "code", string(e.code), "took_ms", took.Milliseconds())
-	if failure != nil {
-		panic(failure)
+		"request", requestNumber, "method", r.Method, "route", pattern, "status", e.status, "bytes", e.bytesWritten,
+		"id", e.id, "verdict", e.verdict.String(), "code", string(e.code), "took_ms", duration.Milliseconds())
+	if panicValue != nil {
+		panic(panicValue)
 	}
 }
 
-func (a *api) observe(pattern string, status int, took time.Duration) {
+// recordMetrics counts one HTTP request and records its duration.
+func (a *api) recordMetrics(pattern string, status int, duration time.Duration) {
 	route := metrics.Label{Name: "route", Value: pattern}
 	code := metrics.Label{Name: "status", Value: strconv.Itoa(status)}
 	gometrics.GetOrRegisterCounter(metrics.Name("http_requests_total", route, code), a.cfg.Metrics).Inc(1)
-	gometrics.GetOrRegisterTimer(metrics.Name("http_request_seconds", route), a.cfg.Metrics).Update(took)
+	gometrics.GetOrRegisterTimer(metrics.Name("http_request_seconds", route), a.cfg.Metrics).Update(duration)
 }
 
-// count counts the core's answers by operation, verdict and code.
-func (a *api) count(op model.Op, ans model.Answer) {
+// countAnswer counts an answer of the core by operation, verdict and code.
+func (a *api) countAnswer(op model.Op, ans model.Answer) {
 	name := metrics.Name("requests_total",
 		metrics.Label{Name: "op", Value: string(op)},
 		metrics.Label{Name: "verdict", Value: ans.Verdict.String()},
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Bounds of one HTTP connection.
+// Defaults for the zero values of ServerConfig.
 const (
-	DefaultReadTimeout   = 15 * time.Second // headers and body of one request
+	DefaultReadTimeout   = 15 * time.Second // for the headers and the body of one request
 	DefaultHeaderTimeout = 5 * time.Second
-	DefaultIdleTimeout   = 90 * time.Second // between requests
-	DefaultMaxHeader     = 32 << 10         // bytes
+	DefaultIdleTimeout   = 90 * time.Second // between two requests of a connection
+	DefaultMaxHeader     = 32 << 10         // bytes of the request headers
 )
 
-// ServerConfig configures the HTTP server around the API. Zero values take the
+// ServerConfig holds the settings of the HTTP server. Zero values mean the
 // defaults.
 type ServerConfig struct {
 	Addr           string // TCP address, host:port
@@ -26,7 +26,8 @@
 	Logger         *slog.Logger
 }
 
-// NewServer returns a server that bounds what slow callers hold.
+// NewServer returns an HTTP server for the handler. Its timeouts and its header
+// limit bound the time and memory that a slow caller can occupy.
 func NewServer(cfg ServerConfig, handler http.Handler) *http.Server {
 	read := orDefault(cfg.ReadTimeout, DefaultReadTimeout)
 	request := orDefault(cfg.RequestTimeout, DefaultRequestTimeout)
@@ -39,7 +40,7 @@
 		Handler:           handler,
 		ReadTimeout:       read,
 		ReadHeaderTimeout: min(read, orDefault(cfg.HeaderTimeout, DefaultHeaderTimeout)),
-		WriteTimeout:      read + request + answerGrace + writeTimeout,
+		WriteTimeout:      read + request + answerMargin + writeTimeout,
 		IdleTimeout:       orDefault(cfg.IdleTimeout, DefaultIdleTimeout),
 		MaxHeaderBytes:    orDefault(cfg.MaxHeader, DefaultMaxHeader),
 		ErrorLog:          slog.NewLogLogger(logger.Handler(), slog.LevelWarn),
--- a/internal/httpapi/server_test.go
+++ b/internal/httpapi/server_test.go
@@ -23,15 +23,15 @@
 	"pollenbend/internal/verdict"
 )
 
-// pipes is a listener whose one connection is a pipe in memory, so that the
-// timeouts of a server run on the clock of a synctest bubble.
-type pipes struct {
+// pipeListener is a listener whose only connection is an in-memory pipe, so that
+// the server's timeouts run on the clock of a synctest bubble.
+type pipeListener struct {
 	once sync.Once
 	conn net.Conn
 	done chan struct{}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	var conn net.Conn
 	p.once.Do(func() { conn = p.conn })
 	if conn != nil {
@@ -40,20 +40,20 @@
 	<-p.done
 	return nil, net.ErrClosed
 }
-func (p *pipes) Close() error   { return nil }
-func (p *pipes) Addr() net.Addr { return p.conn.LocalAddr() }
+func (p *pipeListener) Close() error   { return nil }
+func (p *pipeListener) Addr() net.Addr { return p.conn.LocalAddr() }
 
-// start serves c on one connection and returns the caller's end. The server ends
-// with the function that it returns besides.
-func start(c *core) (net.Conn, func()) {
-	ours, theirs := net.Pipe()
-	listener := &pipes{conn: theirs, done: make(chan struct{})}
+// startServer serves c on one connection. It returns the client's end of the
+// connection and a function that stops the server.
+func startServer(c *scriptedCore) (net.Conn, func()) {
+	clientConn, serverConn := net.Pipe()
+	listener := &pipeListener{conn: serverConn, done: make(chan struct{})}
 	server := NewServer(ServerConfig{}, newAPI(c))
 	go func() { _ = server.Serve(listener) }()
-	return ours, func() {
+	return clientConn, func() {
 		close(listener.done)
 		_ = server.Close()
-		_ = ours.Close()
+		_ = clientConn.Close()
 	}
 }
 
@@ -71,8 +71,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := &core{}
-				conn, stop := start(c)
+				c := &scriptedCore{}
+				conn, stop := startServer(c)
 				defer stop()
 				go func() { _, _ = io.WriteString(conn, "POST /v1/requests HTTP/1.1\r\nHost: a\r\n"+tt.head) }()
 				resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -89,42 +89,42 @@
 	}
 }
 
-func TestCallerGoesAway(t *testing.T) {
-	entered, left := make(chan struct{}), make(chan error, 1)
-	c := &core{do: func(ctx context.Context, r model.Request) model.Answer {
+func TestClosedConnectionCancelsRequest(t *testing.T) {
+	entered, ctxErr := make(chan struct{}), make(chan error, 1)
+	c := &scriptedCore{do: func(ctx context.Context, r model.Request) model.Answer {
 		close(entered)
 		<-ctx.Done()
-		left <- ctx.Err()
+		ctxErr <- ctx.Err()
 		return model.Answer{ID: r.ID}
 	}}
-	conn, stop := start(c)
+	conn, stop := startServer(c)
 	defer stop()
 	_, err := io.WriteString(conn, "POST /v1/requests HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}")
 	require.NoError(t, err)
 	<-entered
 	require.NoError(t, conn.Close())
-	require.ErrorIs(t, <-left, context.Canceled)
+	require.ErrorIs(t, <-ctxErr, context.Canceled)
 }
 
-// lines is a log that tests read.
-type lines struct {
+// logBuffer is a buffer for log lines that is safe for concurrent use.
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
 func TestLogHasNoKeys(t *testing.T) {
-	log := &lines{}
+	log := &logBuffer{}
 	logger := slog.New(slog.NewJSONHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	c := &core{do: func(context.Context, model.Request) model.Answer { panic("broken") }}
+	c := &scriptedCore{do: func(context.Context, model.Request) model.Answer { panic("broken") }}
 	h := New(Config{Gateway: c, Status: c, Logger: logger})
 	for _, header := range []string{"Bearer top-secret", "Basic top-secret"} {
-		w, doc := exchangeWith(t, h, "POST", "/v1/requests?key=top-secret", `{}`, "Authorization", header)
+		w, doc := exchangeJSON(t, h, "POST", "/v1/requests?key=top-secret", `{}`, "Authorization", header)
 		require.Contains(t, []int{401, 500}, w.Code)
 		require.NotEqual(t, verdict.Done, doc.Verdict)
 	}
@@ -135,33 +135,33 @@
 	}
 }
 
-func TestPanicMayHaveRun(t *testing.T) {
-	c := &core{do: func(context.Context, model.Request) model.Answer { panic("broken") }}
-	w, doc := exchangeWith(t, newAPI(c), "POST", "/v1/requests", `{}`)
+func TestPanicAnswersMayHaveRun(t *testing.T) {
+	c := &scriptedCore{do: func(context.Context, model.Request) model.Answer { panic("broken") }}
+	w, doc := exchangeJSON(t, newAPI(c), "POST", "/v1/requests", `{}`)
 	require.Equal(t, 500, w.Code)
 	require.Equal(t, verdict.MayHaveRun, doc.Verdict)
 }
 
 func TestHeldBodiesAreBounded(t *testing.T) {
-	c := &core{}
+	c := &scriptedCore{}
 	h := New(Config{Gateway: c, Status: c, MaxHeld: 100})
 	full := `{"payload":"` + strings.Repeat("x", 80) + `"}`
 	for range 3 {
-		w, _ := exchangeWith(t, h, "POST", "/v1/requests", full)
+		w, _ := exchangeJSON(t, h, "POST", "/v1/requests", full)
 		require.Equal(t, 200, w.Code)
 	}
 	c.do = func(_ context.Context, r model.Request) model.Answer {
-		w, doc := exchangeWith(t, h, "POST", "/v1/requests", full)
+		w, doc := exchangeJSON(t, h, "POST", "/v1/requests", full)
 		require.Equal(t, 429, w.Code)
 		require.Equal(t, verdict.CodeOverloaded, doc.Code)
 		return model.Answer{Verdict: verdict.Done}
 	}
-	w, _ := exchangeWith(t, h, "POST", "/v1/requests", full)
+	w, _ := exchangeJSON(t, h, "POST", "/v1/requests", full)
 	require.Equal(t, 200, w.Code)
 }
 
 func TestProbesAndMetrics(t *testing.T) {
-	c := &core{notReady: "log not read"}
+	c := &scriptedCore{notReady: "log not read"}
 	registry := gometrics.NewRegistry()
 	h := New(Config{Gateway: c, Status: c, Metrics: registry})
 	get := func(path string) (int, string) {
@@ -181,7 +181,7 @@
 	require.Equal(t, "draining\n", body)
 	status, _ = get("/healthz")
 	require.Equal(t, 200, status)
-	w, _ := exchangeWith(t, h, "POST", "/v1/requests", `{}`)
+	w, _ := exchangeJSON(t, h, "POST", "/v1/requests", `{}`)
 	require.Equal(t, "close", w.Header().Get("Connection"))
 	_, body = get("/metrics")
 	require.Contains(t, body, `pollenbend_requests_total{code="",op="call",verdict="done"} 1`)
--- a/internal/httpapi/wire/wire.go
+++ b/internal/httpapi/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire holds the JSON documents of the HTTP API, which the server and
+// Package wire defines the JSON documents of the HTTP API, which the server and
 // the client share. docs/API.md describes each field.
 package wire
 
@@ -9,7 +9,7 @@
 	"pollenbend/internal/verdict"
 )
 
-// Header names beyond those that net/http knows.
+// Names of the API's own HTTP headers.
 const (
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderTicket         = "Pollenbend-Ticket"
@@ -64,7 +64,8 @@
 	Version      uint64          `json:"version,omitempty"`
 }
 
-// Body returns the task's answer or the operation's document as bytes.
+// Body returns the task's answer or the operation's document, or nil if there is
+// none.
 func (a *Answer) Body() []byte {
 	if len(a.AnswerBase64) > 0 {
 		return a.AnswerBase64
