--- a/internal/client/calls.go
+++ b/internal/client/calls.go
@@ -14,119 +14,123 @@
 	"pollenbend/internal/verdict"
 )
 
-// callGrace is what an attempt gets beyond the call's timeout for the answer's
-// way back.
-const callGrace = 2 * time.Second
+// answerMargin is added to the call's timeout so that the server's answer still
+// arrives in time.
+const answerMargin = 2 * time.Second
 
 // Call runs a short task and waits for its answer. A non-nil error is a
-// *verdict.Error; the answer is then nil unless a server gave one.
-func (c *Client) Call(ctx context.Context, call wire.Call, as Identity) (*wire.Answer, error) {
-	as = minted(as)
-	attempt := exchange{method: http.MethodPost, path: "/v1/requests", as: as, id: as.id()}
-	if call.Timeout == "" {
-		attempt.body = func() ([]byte, error) { return json.Marshal(call) }
-		return c.do(ctx, attempt)
+// *verdict.Error; the answer is then nil unless a server sent one.
+func (c *Client) Call(ctx context.Context, body wire.Call, identity Identity) (*wire.Answer, error) {
+	identity = withID(identity)
+	call := apiCall{method: http.MethodPost, path: "/v1/requests", identity: identity, wantID: identity.id()}
+	if body.Timeout == "" {
+		call.body = func() ([]byte, error) { return json.Marshal(body) }
+		return c.do(ctx, call)
 	}
-	timeout, err := time.ParseDuration(call.Timeout)
+	timeout, err := time.ParseDuration(body.Timeout)
 	if err != nil {
 		return nil, verdict.Refuse(verdict.CodeBadRequest, "timeout: %s", err)
 	}
 	deadline := time.Now().Add(timeout)
-	ctx, cancel := context.WithDeadline(ctx, deadline.Add(callGrace))
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(answerMargin))
 	defer cancel()
-	attempt.timeout = timeout + callGrace
-	attempt.body = func() ([]byte, error) {
-		call.Timeout = max(time.Until(deadline), time.Millisecond).String()
-		return json.Marshal(call)
+	call.timeout = timeout + answerMargin
+	call.body = func() ([]byte, error) {
+		body.Timeout = max(time.Until(deadline), time.Millisecond).String()
+		return json.Marshal(body)
 	}
-	return c.do(ctx, attempt)
+	return c.do(ctx, call)
 }
 
-// Submit hands over a job for later. The answer's ID is the job's id.
-func (c *Client) Submit(ctx context.Context, job wire.Job, as Identity) (*wire.Answer, error) {
-	as = minted(as)
-	return c.do(ctx, exchange{method: http.MethodPost, path: "/v1/jobs", as: as, body: document(job)})
+// Submit submits a job and does not wait for its tasks. The answer's ID is the
+// job's id.
+func (c *Client) Submit(ctx context.Context, job wire.Job, identity Identity) (*wire.Answer, error) {
+	identity = withID(identity)
+	return c.do(ctx, apiCall{method: http.MethodPost, path: "/v1/jobs", identity: identity, body: jsonBody(job)})
 }
 
-// Status returns the answer about a request as far as it is known. The error is
-// nil when the request itself failed.
+// Status returns the state of a request as far as it is known. The error is nil
+// also when the request itself failed. With why the answer explains what a waiting
+// request waits for.
 func (c *Client) Status(ctx context.Context, id string, why bool) (*wire.Answer, error) {
-	return c.do(ctx, exchange{method: http.MethodGet, path: "/v1/requests/" + url.PathEscape(id) + query(why), id: id, read: true})
+	return c.do(ctx, apiCall{method: http.MethodGet, path: "/v1/requests/" + url.PathEscape(id) + whyQuery(why), wantID: id, readsRequest: true})
 }
 
-// JobStatus returns the state of a job.
+// JobStatus returns the state of a job, like Status.
 func (c *Client) JobStatus(ctx context.Context, id model.JobID, why bool) (*wire.Answer, error) {
-	return c.do(ctx, exchange{method: http.MethodGet, path: "/v1/jobs/" + url.PathEscape(string(id)) + query(why), id: string(id), read: true})
+	return c.do(ctx, apiCall{method: http.MethodGet, path: "/v1/jobs/" + url.PathEscape(string(id)) + whyQuery(why), wantID: string(id), readsRequest: true})
 }
 
-// Cancel cancels a request and returns the answer about it.
+// Cancel cancels a request and returns its resulting state.
 func (c *Client) Cancel(ctx context.Context, id string) (*wire.Answer, error) {
-	return c.do(ctx, exchange{method: http.MethodDelete, path: "/v1/requests/" + url.PathEscape(id), id: id, read: true})
+	return c.do(ctx, apiCall{method: http.MethodDelete, path: "/v1/requests/" + url.PathEscape(id), wantID: id, readsRequest: true})
 }
 
-// CancelJob cancels a job and returns the answer about it.
+// CancelJob cancels a job and returns its resulting state.
 func (c *Client) CancelJob(ctx context.Context, id model.JobID) (*wire.Answer, error) {
-	return c.do(ctx, exchange{method: http.MethodDelete, path: "/v1/jobs/" + url.PathEscape(string(id)), id: string(id), read: true})
+	return c.do(ctx, apiCall{method: http.MethodDelete, path: "/v1/jobs/" + url.PathEscape(string(id)), wantID: string(id), readsRequest: true})
 }
 
-// Tickets asks for tickets for requests that must not be repeated.
+// Tickets requests tickets for requests that must not run twice.
 func (c *Client) Tickets(ctx context.Context, queue string, count int) ([]string, error) {
-	body := document(wire.Tickets{Queue: queue, Count: count})
-	answer, err := c.do(ctx, exchange{method: http.MethodPost, path: "/v1/tickets", body: body})
+	body := jsonBody(wire.Tickets{Queue: queue, Count: count})
+	answer, err := c.do(ctx, apiCall{method: http.MethodPost, path: "/v1/tickets", body: body})
 	if err != nil {
 		return nil, err
 	}
 	return answer.Tickets, nil
 }
 
-// Config returns the declarations in force; the answer's Version is theirs.
+// Config returns the declarations in force. The answer's Version is their version.
 func (c *Client) Config(ctx context.Context) (*wire.Answer, error) {
-	return c.do(ctx, exchange{method: http.MethodGet, path: "/v1/config"})
+	return c.do(ctx, apiCall{method: http.MethodGet, path: "/v1/config"})
 }
 
-// Apply changes declarations. It mints the change's id when there is none.
+// Apply changes declarations. It generates the change's id if there is none.
 func (c *Client) Apply(ctx context.Context, change model.Change) (*wire.Answer, error) {
 	if change.ID == "" {
 		change.ID = NewID()
 	}
-	attempt := exchange{method: http.MethodPost, path: "/v1/config", id: change.ID, body: document(change)}
-	attempt.settles = func(code verdict.Code) bool { return code == verdict.CodeConflict }
-	return c.do(ctx, attempt)
+	call := apiCall{method: http.MethodPost, path: "/v1/config", wantID: change.ID, body: jsonBody(change)}
+	call.resolvesEarlier = func(code verdict.Code) bool { return code == verdict.CodeConflict }
+	return c.do(ctx, call)
 }
 
 // Cell returns the instances, workers and teams that a server knows.
 func (c *Client) Cell(ctx context.Context) (*wire.Answer, error) {
-	return c.do(ctx, exchange{method: http.MethodGet, path: "/v1/cell"})
+	return c.do(ctx, apiCall{method: http.MethodGet, path: "/v1/cell"})
 }
 
-// Timeline returns the events of one server after the event numbered since.
+// Timeline returns the events of one server after the event with sequence number
+// since.
 func (c *Client) Timeline(ctx context.Context, since uint64) (*wire.Answer, error) {
 	path := "/v1/timeline?since=" + strconv.FormatUint(since, 10)
-	return c.do(ctx, exchange{method: http.MethodGet, path: path})
+	return c.do(ctx, apiCall{method: http.MethodGet, path: path})
 }
 
-// Drain starts the planned stop of one server.
+// Drain starts a graceful shutdown of one server.
 func (c *Client) Drain(ctx context.Context) (*wire.Answer, error) {
-	return c.do(ctx, exchange{method: http.MethodPost, path: "/v1/drain"})
+	return c.do(ctx, apiCall{method: http.MethodPost, path: "/v1/drain"})
 }
 
-// NewID returns an id that no other call has.
+// NewID returns a random id, unique for practical purposes.
 func NewID() string { return rand.Text() }
 
-func minted(as Identity) Identity {
-	if as.id() == "" {
-		as.IdempotencyKey = NewID()
+// withID returns the identity, with a new idempotency key if it is empty.
+func withID(identity Identity) Identity {
+	if identity.id() == "" {
+		identity.IdempotencyKey = NewID()
 	}
-	return as
+	return identity
 }
 
-func query(why bool) string {
+func whyQuery(why bool) string {
 	if why {
 		return "?why=1"
 	}
 	return ""
 }
 
-func document(v any) func() ([]byte, error) {
+func jsonBody(v any) func() ([]byte, error) {
 	return func() ([]byte, error) { return json.Marshal(v) }
 }
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,6 @@
-// Package client calls the HTTP API. It maps every way in which a call can fail
-// to a verdict, repeats a call only under the same id or after a refusal that
-// had no effect, and bounds the repeats by a budget.
+// Package client calls the HTTP API. It maps every failure of a call to a verdict,
+// retries a call only under the same id or after a refusal without effect, and
+// limits the retries with a budget.
 package client
 
 import (
@@ -21,32 +21,33 @@
 	DefaultAttemptTimeout = 65 * time.Second
 )
 
-// dialTimeout bounds the time to open a connection.
+// dialTimeout is the maximum time to open a connection.
 const dialTimeout = 3 * time.Second
 
-// Config configures a Client.
+// Config holds the settings of a Client.
 type Config struct {
-	// Servers are base URLs such as "http://10.0.0.1:8080". Attempts take them
-	// in turn.
+	// Servers are base URLs such as "http://10.0.0.1:8080". Attempts use them
+	// round-robin.
 	Servers []string
 	// Key is the caller's secret; empty for open queues.
 	Key string
-	// MaxAttempts bounds the attempts of one call.
+	// MaxAttempts is the maximum number of attempts of one call.
 	MaxAttempts int
-	// AttemptTimeout bounds one attempt, so that a silent connection is given
-	// up. A call with a timeout of its own uses that instead.
+	// AttemptTimeout is the maximum duration of one attempt, so that a connection
+	// that does not respond is closed. A call with a timeout of its own uses that
+	// instead.
 	AttemptTimeout time.Duration
-	// HTTP is the transport; nil for one with its own connections.
+	// HTTP is the transport; nil creates one with a connection pool of its own.
 	HTTP http.RoundTripper
 }
 
 // Client calls the API. It is safe for concurrent use.
 type Client struct {
-	cfg    Config
-	http   *http.Client
-	next   atomic.Uint64 // index of the next server
-	budget budget
-	sleep  sleeper
+	cfg        Config
+	http       *http.Client
+	nextServer atomic.Uint64 // counts attempts; selects the next server
+	budget     retryBudget
+	sleep      sleepFunc
 }
 
 // New returns a client for at least one server.
@@ -74,8 +75,8 @@
 	return &Client{
 		cfg:    cfg,
 		http:   &http.Client{Transport: cfg.HTTP, CheckRedirect: noRedirect},
-		budget: newBudget(),
-		sleep:  sleepFor,
+		budget: newRetryBudget(),
+		sleep:  sleep,
 	}, nil
 }
 
@@ -90,13 +91,14 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-func (c *Client) server() string {
-	n := c.next.Add(1) - 1
+// chooseServer returns the base URL for the next attempt.
+func (c *Client) chooseServer() string {
+	n := c.nextServer.Add(1) - 1
 	return c.cfg.Servers[n%uint64(len(c.cfg.Servers))]
 }
 
-// Identity is the id under which a call or a job is known. At most one field is
-// set. With neither, the client mints an idempotency key.
+// Identity is the id of a call or a job. At most one field is set. If both are
+// empty, the client generates an idempotency key.
 type Identity struct {
 	IdempotencyKey string
 	Ticket         string
@@ -109,7 +111,7 @@
 	return i.IdempotencyKey
 }
 
-func (i Identity) set(h http.Header) {
+func (i Identity) setHeader(h http.Header) {
 	if i.Ticket != "" {
 		h.Set(wire.HeaderTicket, i.Ticket)
 		return
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -20,25 +20,26 @@
 	"pollenbend/internal/verdict"
 )
 
-// step is one scripted reply of a server; a nil answer drops the connection
-// after the request was read.
-type step struct {
-	answer *wire.Answer
-	text   string // sent as it is
-	cut    bool   // half of the answer is sent
+// scriptedReply is one reply of a server. A nil answer drops the connection after
+// the request was read.
+type scriptedReply struct {
+	answer    *wire.Answer
+	text      string // sent verbatim, not as an API answer
+	truncated bool   // only half of the answer is sent
 }
 
-func reply(id string, v verdict.Verdict, code verdict.Code) step {
-	return step{answer: &wire.Answer{ID: id, Verdict: v, Code: code}}
+func reply(id string, v verdict.Verdict, code verdict.Code) scriptedReply {
+	return scriptedReply{answer: &wire.Answer{ID: id, Verdict: v, Code: code}}
 }
 
-// serveSteps replies to one request after the other.
-func serveSteps(t *testing.T, steps ...step) (*Client, *atomic.Int64) {
+// serveReplies starts a server that sends one reply to each request. It returns a
+// client of the server and the number of requests served.
+func serveReplies(t *testing.T, replies ...scriptedReply) (*Client, *atomic.Int64) {
 	t.Helper()
 	var served atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		s := steps[served.Add(1)-1]
+		s := replies[served.Add(1)-1]
 		switch {
 		case s.text != "":
 			w.WriteHeader(http.StatusBadGateway)
@@ -48,7 +49,7 @@
 		default:
 			body, _ := json.Marshal(s.answer)
 			w.Header().Set("Content-Length", itoa(len(body)))
-			if s.cut {
+			if s.truncated {
 				body = body[:len(body)/2]
 			}
 			_, _ = w.Write(body)
@@ -74,33 +75,33 @@
 func TestCallVerdicts(t *testing.T) {
 	done := reply("i", verdict.Done, "")
 	overloaded := reply("i", verdict.NotRun, verdict.CodeOverloaded)
-	dropped := step{}
+	dropped := scriptedReply{}
 	tests := []struct {
-		name  string
-		steps []step
-		want  verdict.Verdict
-		code  verdict.Code
+		name    string
+		replies []scriptedReply
+		want    verdict.Verdict
+		code    verdict.Code
 	}{
-		{"done", []step{done}, verdict.Done, ""},
-		{"refused, then done", []step{overloaded, overloaded, done}, verdict.Done, ""},
-		{"refused for good", []step{reply("i", verdict.NotRun, verdict.CodeNeverFits)}, verdict.NotRun, verdict.CodeNeverFits},
-		{"in doubt is not repeated", []step{reply("i", verdict.MayHaveRun, verdict.CodeInDoubt)}, verdict.MayHaveRun, verdict.CodeInDoubt},
-		{"lost, then done", []step{dropped, done}, verdict.Done, ""},
-		{"cut, then done", []step{{answer: done.answer, cut: true}, done}, verdict.Done, ""},
-		{"crossed, then done", []step{reply("other", verdict.Done, ""), done}, verdict.Done, ""},
-		{"unmatched, then done", []step{reply("", verdict.Done, ""), done}, verdict.Done, ""},
-		{"not from the API, then done", []step{{text: "<html>"}, done}, verdict.Done, ""},
-		{"lost, then a refusal that tells nothing", []step{dropped, reply("i", verdict.NotRun, verdict.CodeUnauthorized)}, verdict.MayHaveRun, verdict.CodeUnauthorized},
-		{"lost, then canceled", []step{dropped, reply("i", verdict.NotRun, verdict.CodeCanceled)}, verdict.NotRun, verdict.CodeCanceled},
-		{"always lost", []step{dropped, dropped, dropped, dropped, dropped}, verdict.MayHaveRun, verdict.CodeInDoubt},
-		{"lost, then overloaded", []step{dropped, overloaded, overloaded, overloaded, overloaded}, verdict.MayHaveRun, verdict.CodeOverloaded},
-		{"task failed", []step{reply("i", verdict.Done, verdict.CodeTaskFailed)}, verdict.Done, verdict.CodeTaskFailed},
+		{"done", []scriptedReply{done}, verdict.Done, ""},
+		{"refused, then done", []scriptedReply{overloaded, overloaded, done}, verdict.Done, ""},
+		{"refused for good", []scriptedReply{reply("i", verdict.NotRun, verdict.CodeNeverFits)}, verdict.NotRun, verdict.CodeNeverFits},
+		{"in doubt is not retried", []scriptedReply{reply("i", verdict.MayHaveRun, verdict.CodeInDoubt)}, verdict.MayHaveRun, verdict.CodeInDoubt},
+		{"lost, then done", []scriptedReply{dropped, done}, verdict.Done, ""},
+		{"cut, then done", []scriptedReply{{answer: done.answer, truncated: true}, done}, verdict.Done, ""},
+		{"answer to another request, then done", []scriptedReply{reply("other", verdict.Done, ""), done}, verdict.Done, ""},
+		{"unmatched, then done", []scriptedReply{reply("", verdict.Done, ""), done}, verdict.Done, ""},
+		{"not from the API, then done", []scriptedReply{{text: "<html>"}, done}, verdict.Done, ""},
+		{"lost, then a refusal that says nothing about it", []scriptedReply{dropped, reply("i", verdict.NotRun, verdict.CodeUnauthorized)}, verdict.MayHaveRun, verdict.CodeUnauthorized},
+		{"lost, then canceled", []scriptedReply{dropped, reply("i", verdict.NotRun, verdict.CodeCanceled)}, verdict.NotRun, verdict.CodeCanceled},
+		{"always lost", []scriptedReply{dropped, dropped, dropped, dropped, dropped}, verdict.MayHaveRun, verdict.CodeInDoubt},
+		{"lost, then overloaded", []scriptedReply{dropped, overloaded, overloaded, overloaded, overloaded}, verdict.MayHaveRun, verdict.CodeOverloaded},
+		{"task failed", []scriptedReply{reply("i", verdict.Done, verdict.CodeTaskFailed)}, verdict.Done, verdict.CodeTaskFailed},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c, served := serveSteps(t, tt.steps...)
+			c, served := serveReplies(t, tt.replies...)
 			answer, err := c.Call(context.Background(), wire.Call{}, Identity{IdempotencyKey: "i"})
-			require.Equal(t, int64(len(tt.steps)), served.Load())
+			require.Equal(t, int64(len(tt.replies)), served.Load())
 			require.Equal(t, tt.want, verdict.Of(err))
 			if tt.code == "" {
 				require.NoError(t, err)
@@ -118,15 +119,15 @@
 }
 
 func TestReadVerdicts(t *testing.T) {
-	c, _ := serveSteps(t,
+	c, _ := serveReplies(t,
 		reply("i", verdict.NotRun, verdict.CodeCanceled),
 		reply("", verdict.NotRun, verdict.CodeUnauthorized),
-		step{}, reply("i", verdict.NotRun, verdict.CodeNotFound))
+		scriptedReply{}, reply("i", verdict.NotRun, verdict.CodeNotFound))
 	answer, err := c.Status(context.Background(), "i", true)
 	require.NoError(t, err)
 	require.Equal(t, verdict.NotRun, answer.Verdict)
 	_, err = c.Status(context.Background(), "i", false)
-	require.Equal(t, verdict.MayHaveRun, verdict.Of(err), "a refused read tells nothing of the request")
+	require.Equal(t, verdict.MayHaveRun, verdict.Of(err), "a refused read says nothing about the request")
 	_, err = c.Status(context.Background(), "i", false)
 	require.Equal(t, verdict.NotRun, verdict.Of(err))
 }
@@ -139,9 +140,10 @@
 	require.Equal(t, verdict.NotRun, verdict.Of(err))
 }
 
-// A server that takes a request on a kept connection and dies leaves it open
-// whether the request ran, although the next connection is refused.
-func TestLostOnKeptConnection(t *testing.T) {
+// A server reads a request on a reused connection and stops without an answer. The
+// request may have run, although the next attempt cannot connect: the refused dial
+// must not turn the verdict into not run.
+func TestLostAnswerOnReusedConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go func() {
@@ -170,30 +172,30 @@
 	require.Equal(t, verdict.MayHaveRun, verdict.Of(err))
 }
 
-func TestBudgetBoundsRepeats(t *testing.T) {
-	b := newBudget()
-	for range int(budgetMax) {
-		require.True(t, b.spend())
+func TestRetryBudget(t *testing.T) {
+	b := newRetryBudget()
+	for range int(maxRetryBudget) {
+		require.True(t, b.withdraw())
 	}
-	require.False(t, b.spend())
-	for range int(1/budgetPerCall) + 1 {
-		b.earn()
+	require.False(t, b.withdraw())
+	for range int(1/retriesPerCall) + 1 {
+		b.deposit()
 	}
-	require.True(t, b.spend())
+	require.True(t, b.withdraw())
 }
 
-// echo answers every request with its operation and remembers it.
-type echo struct{ last model.Request }
+// echoGateway answers every request with verdict done and stores the request.
+type echoGateway struct{ last model.Request }
 
-func (e *echo) Do(_ context.Context, r model.Request) model.Answer {
+func (e *echoGateway) Do(_ context.Context, r model.Request) model.Answer {
 	e.last = r
 	return model.Answer{ID: r.ID, Verdict: verdict.Done, Tickets: []string{"t1"}}
 }
-func (e *echo) Ready() (bool, string) { return true, "" }
-func (e *echo) Draining() bool        { return false }
+func (e *echoGateway) Ready() (bool, string) { return true, "" }
+func (e *echoGateway) Draining() bool        { return false }
 
 func TestEveryCallReachesItsRoute(t *testing.T) {
-	e := &echo{}
+	e := &echoGateway{}
 	server := httptest.NewServer(httpapi.New(httpapi.Config{Gateway: e, Status: e}))
 	defer server.Close()
 	c := newClient(t, server.URL)
--- a/internal/client/retry.go
+++ b/internal/client/retry.go
@@ -10,51 +10,51 @@
 	"pollenbend/internal/verdict"
 )
 
-// Backoff between attempts. Each wait is drawn between half of the current step
-// and the whole of it.
+// Backoff between attempts. Each delay is drawn at random between half of the
+// current backoff and the whole of it; the backoff doubles after each attempt.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 5 * time.Second
 )
 
-// The budget of repeats: each call earns a part of one, each repeat spends one.
+// The retry budget: each call deposits retriesPerCall, each retry withdraws one.
 const (
-	budgetPerCall = 0.1
-	budgetMax     = 10.0
+	retriesPerCall = 0.1
+	maxRetryBudget = 10.0
 )
 
-// budget bounds the repeats of all calls together, so that an overloaded system
-// does not get many times its load.
-type budget struct {
-	mu   *sync.Mutex
-	left *float64
+// retryBudget limits the retries of all calls of a client together, so that retries
+// do not multiply the load of an overloaded system.
+type retryBudget struct {
+	mu        *sync.Mutex
+	remaining *float64
 }
 
-func newBudget() budget {
-	left := budgetMax
-	return budget{new(sync.Mutex), &left}
+func newRetryBudget() retryBudget {
+	remaining := maxRetryBudget
+	return retryBudget{new(sync.Mutex), &remaining}
 }
 
-func (b budget) earn() {
+func (b retryBudget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	*b.left = min(budgetMax, *b.left+budgetPerCall)
+	*b.remaining = min(maxRetryBudget, *b.remaining+retriesPerCall)
 }
 
-func (b budget) spend() bool {
+func (b retryBudget) withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if *b.left < 1 {
+	if *b.remaining < 1 {
 		return false
 	}
-	*b.left--
+	*b.remaining--
 	return true
 }
 
-// sleeper waits for d and reports false when ctx ends first.
-type sleeper func(ctx context.Context, d time.Duration) bool
+// sleepFunc waits for d. It returns false if ctx ends first.
+type sleepFunc func(ctx context.Context, d time.Duration) bool
 
-func sleepFor(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= d {
 		return false
 	}
@@ -68,63 +68,64 @@
 	}
 }
 
-// do makes attempts until one settles the call, and keeps count of what the
-// attempts so far may have done.
-func (c *Client) do(ctx context.Context, x exchange) (*wire.Answer, error) {
-	c.budget.earn()
-	step := minBackoff
-	var doubt *verdict.Error // of an attempt whose answer was lost
-	for n := 1; ; n++ {
-		o := c.attempt(ctx, x)
-		if o.err == nil {
-			return o.answer, nil
+// do makes attempts until one gives a final result. While an earlier attempt may
+// have run, a refusal of a later one does not make the call not run.
+func (c *Client) do(ctx context.Context, call apiCall) (*wire.Answer, error) {
+	c.budget.deposit()
+	backoff := minBackoff
+	var inDoubt *verdict.Error // of an attempt whose answer was lost
+	for attempt := 1; ; attempt++ {
+		result := c.attempt(ctx, call)
+		if result.err == nil {
+			return result.answer, nil
 		}
-		if doubt != nil && !x.settled(o) {
-			o = o.stillInDoubt(doubt)
+		if inDoubt != nil && !call.resolvesEarlierAttempts(result) {
+			result = result.withVerdictOf(inDoubt)
 		}
-		if o.lost {
-			doubt = o.err
+		if result.answerLost {
+			inDoubt = result.err
 		}
-		wait := max(o.err.RetryAfter, step/2+rand.N(step/2))
-		if !retryable(o) || n >= c.cfg.MaxAttempts || !c.budget.spend() || !c.sleep(ctx, wait) {
-			return o.answer, o.err
+		wait := max(result.err.RetryAfter, backoff/2+rand.N(backoff/2))
+		if !retryable(result) || attempt >= c.cfg.MaxAttempts || !c.budget.withdraw() || !c.sleep(ctx, wait) {
+			return result.answer, result.err
 		}
-		step = min(2*step, maxBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// retryable reports whether another attempt under the same id may help.
+// retryable reports whether another attempt under the same id may succeed.
 func retryable(o outcome) bool {
-	if o.lost {
+	if o.answerLost {
 		return true
 	}
 	switch o.err.Code {
 	case verdict.CodeOverloaded, verdict.CodeUnavailable, verdict.CodeDraining, verdict.CodeStaleAuthority:
-		return o.refused
+		return o.notRun
 	}
 	return false
 }
 
-// settled reports whether the answer to a repeat tells of the attempts before it
-// as well.
-func (x exchange) settled(o outcome) bool {
-	if o.lost || x.read || o.err.Verdict != verdict.NotRun {
+// resolvesEarlierAttempts reports whether the outcome of a retry also holds for the
+// attempts before it.
+func (c apiCall) resolvesEarlierAttempts(o outcome) bool {
+	if o.answerLost || c.readsRequest || o.err.Verdict != verdict.NotRun {
 		return true
 	}
-	return o.err.Code == verdict.CodeCanceled || x.settles != nil && x.settles(o.err.Code)
+	return o.err.Code == verdict.CodeCanceled || c.resolvesEarlier != nil && c.resolvesEarlier(o.err.Code)
 }
 
-// stillInDoubt returns the refusal of a repeat with the verdict of the lost
-// attempt: a refusal tells nothing of the attempts before it.
-func (o outcome) stillInDoubt(doubt *verdict.Error) outcome {
+// withVerdictOf returns the outcome of a refused retry with the verdict of the
+// earlier attempt whose answer was lost, because a refusal says nothing about the
+// attempts before it.
+func (o outcome) withVerdictOf(earlier *verdict.Error) outcome {
 	o.err = &verdict.Error{
-		Verdict:    doubt.Verdict,
+		Verdict:    earlier.Verdict,
 		Code:       o.err.Code,
-		Message:    o.err.Message + "; before that, " + doubt.Message,
+		Message:    o.err.Message + "; before that, " + earlier.Message,
 		RetryAfter: o.err.RetryAfter,
 	}
 	if o.answer != nil {
-		o.answer.Verdict = doubt.Verdict
+		o.answer.Verdict = earlier.Verdict
 	}
 	return o
 }
