--- a/internal/httpapi/body.go
+++ b/internal/httpapi/body.go
@@ -17,8 +17,8 @@
 // timeout.
 var errBodyTimeout = verdict.Refuse(verdict.CodeBadRequest, "body: not received in time")
 
-// errBodyMemoryFull is the refusal of a body while Config.MaxHeld bytes of bodies
-// are held for other requests.
+// errBodyMemoryFull is the refusal of a body that would exceed Config.MaxHeldBytes
+// together with the bodies held for other requests.
 var errBodyMemoryFull = verdict.Refuse(verdict.CodeOverloaded, "body: too many bytes held for other requests")
 
 // countedBody adds the bytes that it reads to the bytes that the instance holds.
@@ -32,22 +32,22 @@
 func (b *countedBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	b.exchange.heldBodyBytes += int64(n)
-	if b.a.heldBodyBytes.Add(int64(n)) > b.a.cfg.MaxHeld {
+	if b.a.heldBodyBytes.Add(int64(n)) > b.a.cfg.MaxHeldBytes {
 		return n, errBodyMemoryFull
 	}
 	return n, err
 }
 
-// readBody reads the whole body, at most Config.MaxBody bytes. The bytes count as
+// readBody reads the whole body, at most Config.MaxBodyBytes bytes. The bytes count as
 // held until the request is answered.
 func (a *api) readBody(r *http.Request) ([]byte, error) {
 	e := exchangeOf(r)
 	e.bodyUnread = true
-	if r.ContentLength > a.cfg.MaxBody {
+	if r.ContentLength > a.cfg.MaxBodyBytes {
 		return nil, a.tooLarge()
 	}
 	body := &countedBody{Reader: r.Body, a: a, exchange: e}
-	data, err := io.ReadAll(io.LimitReader(body, a.cfg.MaxBody+1))
+	data, err := io.ReadAll(io.LimitReader(body, a.cfg.MaxBodyBytes+1))
 	switch {
 	case errors.Is(err, errBodyMemoryFull):
 		return nil, errBodyMemoryFull
@@ -55,7 +55,7 @@
 		return nil, errBodyTimeout
 	case err != nil:
 		return nil, verdict.Refuse(verdict.CodeBadRequest, "body: ended early")
-	case int64(len(data)) > a.cfg.MaxBody:
+	case int64(len(data)) > a.cfg.MaxBodyBytes:
 		return nil, a.tooLarge()
 	}
 	e.bodyUnread = false
@@ -63,7 +63,7 @@
 }
 
 func (a *api) tooLarge() error {
-	return verdict.Refuse(verdict.CodeTooLarge, "body: longer than %d bytes", a.cfg.MaxBody)
+	return verdict.Refuse(verdict.CodeTooLarge, "body: longer than %d bytes", a.cfg.MaxBodyBytes)
 }
 
 // decodeStrict decodes exactly one JSON document without unknown fields. The error
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -34,8 +34,8 @@
 
 // Defaults for the zero values of Config.
 const (
-	DefaultMaxBody        = 1 << 20  // bytes
-	DefaultMaxHeld        = 64 << 20 // bytes
+	DefaultMaxBodyBytes   = 1 << 20  // bytes
+	DefaultMaxHeldBytes   = 64 << 20 // bytes
 	DefaultRequestTimeout = 60 * time.Second
 )
 
@@ -43,8 +43,8 @@
 type Config struct {
 	Gateway        Gateway
 	Status         Status
-	MaxBody        int64         // maximum bytes of one request's body
-	MaxHeld        int64         // maximum bytes of all bodies held at the same time
+	MaxBodyBytes   int64         // maximum bytes of one request's body
+	MaxHeldBytes   int64         // maximum bytes of all bodies held at the same time
 	RequestTimeout time.Duration // default and maximum of a caller's timeout
 	Metrics        gometrics.Registry
 	Logger         *slog.Logger
@@ -60,11 +60,11 @@
 
 // New returns the handler of all routes.
 func New(cfg Config) http.Handler {
-	if cfg.MaxBody <= 0 {
-		cfg.MaxBody = DefaultMaxBody
+	if cfg.MaxBodyBytes <= 0 {
+		cfg.MaxBodyBytes = DefaultMaxBodyBytes
 	}
-	if cfg.MaxHeld <= 0 {
-		cfg.MaxHeld = DefaultMaxHeld
+	if cfg.MaxHeldBytes <= 0 {
+		cfg.MaxHeldBytes = DefaultMaxHeldBytes
 	}
 	if cfg.RequestTimeout <= 0 {
 		cfg.RequestTimeout = DefaultRequestTimeout
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -42,7 +42,7 @@
 }
 
 func newAPI(c *scriptedCore) http.Handler {
-	return New(Config{Gateway: c, Status: c, MaxBody: 1 << 10, InstanceID: "entry-1"})
+	return New(Config{Gateway: c, Status: c, MaxBodyBytes: 1 << 10, InstanceID: "entry-1"})
 }
 
 func exchangeJSON(t *testing.T, h http.Handler, method, target, body string, headers ...string) (*httptest.ResponseRecorder, wire.Answer) {
--- a/internal/httpapi/serve.go
+++ b/internal/httpapi/serve.go
@@ -24,7 +24,7 @@
 	http.ResponseWriter
 	status        int
 	bytesWritten  int
-	heldBodyBytes int64 // bytes of the body that count against Config.MaxHeld
+	heldBodyBytes int64 // bytes of the body that count against Config.MaxHeldBytes
 	bodyUnread    bool  // the body was not read to its end
 	id            string
 	verdict       verdict.Verdict
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -8,10 +8,10 @@
 
 // Defaults for the zero values of ServerConfig.
 const (
-	DefaultReadTimeout   = 15 * time.Second // for the headers and the body of one request
-	DefaultHeaderTimeout = 5 * time.Second
-	DefaultIdleTimeout   = 90 * time.Second // between two requests of a connection
-	DefaultMaxHeader     = 32 << 10         // bytes of the request headers
+	DefaultReadTimeout    = 15 * time.Second // for the headers and the body of one request
+	DefaultHeaderTimeout  = 5 * time.Second
+	DefaultIdleTimeout    = 90 * time.Second // between two requests of a connection
+	DefaultMaxHeaderBytes = 32 << 10         // bytes of the request headers
 )
 
 // ServerConfig holds the settings of the HTTP server. Zero values mean the
@@ -22,7 +22,7 @@
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
 	RequestTimeout time.Duration // as in Config
-	MaxHeader      int           // bytes
+	MaxHeaderBytes int           // bytes
 	Logger         *slog.Logger
 }
 
@@ -42,7 +42,7 @@
 		ReadHeaderTimeout: min(read, orDefault(cfg.HeaderTimeout, DefaultHeaderTimeout)),
 		WriteTimeout:      read + request + answerMargin + writeTimeout,
 		IdleTimeout:       orDefault(cfg.IdleTimeout, DefaultIdleTimeout),
-		MaxHeaderBytes:    orDefault(cfg.MaxHeader, DefaultMaxHeader),
+		MaxHeaderBytes:    orDefault(cfg.MaxHeaderBytes, DefaultMaxHeaderBytes),
 		ErrorLog:          slog.NewLogLogger(logger.Handler(), slog.LevelWarn),
 	}
 }
--- a/internal/httpapi/server_test.go
+++ b/internal/httpapi/server_test.go
@@ -144,7 +144,7 @@
 
 func TestHeldBodiesAreBounded(t *testing.T) {
 	c := &scriptedCore{}
-	h := New(Config{Gateway: c, Status: c, MaxHeld: 100})
+	h := New(Config{Gateway: c, Status: c, MaxHeldBytes: 100})
 	full := `{"payload":"` + strings.Repeat("x", 80) + `"}`
 	for range 3 {
 		w, _ := exchangeJSON(t, h, "POST", "/v1/requests", full)
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -82,7 +82,7 @@
 	i.server = httpapi.NewServer(
 		httpapi.ServerConfig{RequestTimeout: s.Limits.RequestTimeout.Duration, Logger: logger},
 		httpapi.New(httpapi.Config{
-			Gateway: n, Status: n, MaxBody: s.Limits.MaxBody.Bytes,
+			Gateway: n, Status: n, MaxBodyBytes: s.Limits.MaxBody.Bytes,
 			RequestTimeout: s.Limits.RequestTimeout.Duration,
 			Metrics:        registry, Logger: logger, InstanceID: self.ID,
 		}))
