--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -15,11 +15,11 @@
 )
 
 func applyCommand() command {
-	var r remote
+	var r remoteFlags
 	var files []string
 	var id string
 	sub := subcommand("apply", "Make declarations files the configuration in force: apply FILE…")
-	r.flags(sub)
+	r.register(sub)
 	sub.String(&id, "", "change-id", "id of the change; that of an earlier attempt settles its lost answer")
 	return command{sub: sub, args: &files, run: func(ctx context.Context, out, errOut io.Writer) int {
 		return runApply(ctx, &r, files, id, out, errOut)
@@ -28,44 +28,46 @@
 
 const nothingToChange = "nothing to change"
 
-func runApply(ctx context.Context, r *remote, files []string, id string, out, errOut io.Writer) int {
-	wanted, ok := loadDeclarations("apply", files, errOut)
+func runApply(ctx context.Context, r *remoteFlags, files []string, id string, out, errOut io.Writer) int {
+	desired, ok := loadDeclarations("apply", files, errOut)
 	if !ok {
 		return ExitUsage
 	}
 	c, err := r.client()
 	if err != nil {
-		return usage(errOut, "apply", err)
+		return usageError(errOut, "apply", err)
 	}
-	now, err := fetchConfig(ctx, c)
+	current, err := fetchConfig(ctx, c)
 	if err != nil {
-		return fail(out, errOut, r.json, "apply", nil, err, exitOfFetch(id))
+		return fail(out, errOut, r.json, "apply", nil, err, exitOfFailedFetch(id))
 	}
-	change := declare.Diff(now.declarations, wanted)
-	change.Base, change.ID = now.version, id
+	change := declare.Diff(current.declarations, desired)
+	change.Base, change.ID = current.version, id
 	switch {
 	case declare.IsEmpty(change) && r.json:
-		printJSON(out, wire.Answer{ID: id, Verdict: verdict.Done, Version: now.version, Message: nothingToChange})
+		printJSON(out, wire.Answer{ID: id, Verdict: verdict.Done, Version: current.version, Message: nothingToChange})
 		return ExitDone
 	case declare.IsEmpty(change):
-		fmt.Fprintf(out, "%s, version %d\n", nothingToChange, now.version)
+		fmt.Fprintf(out, "%s, version %d\n", nothingToChange, current.version)
 		return ExitDone
 	case !r.json:
-		fmt.Fprint(out, declare.Render(now.declarations, change))
+		fmt.Fprint(out, declare.Render(current.declarations, change))
 	}
 	return sendChange(ctx, c, "apply", change, r.json, out, errOut)
 }
 
-// exitOfFetch is the exit code when the configuration can't be read. A repeat
-// then leaves the attempt before it in doubt.
-func exitOfFetch(id string) int {
+// exitOfFailedFetch returns the exit code when the configuration can't be read. An
+// id given by the caller means that this is a retry; the earlier attempt then
+// remains in doubt.
+func exitOfFailedFetch(id string) int {
 	if id != "" {
 		return ExitMayHaveRun
 	}
 	return ExitNotRun
 }
 
-// sendChange applies a change and prints what came of it.
+// sendChange applies a change, prints the result and returns the exit code. It
+// generates the change's id if there is none.
 func sendChange(ctx context.Context, c *client.Client, name string, change model.Change, asJSON bool, out, errOut io.Writer) int {
 	if change.ID == "" {
 		change.ID = client.NewID()
@@ -84,6 +86,7 @@
 	return ExitDone
 }
 
+// reportFailedChange prints the error of a change and returns the exit code.
 func reportFailedChange(name string, change model.Change, answer *wire.Answer, err error, asJSON bool, out, errOut io.Writer) int {
 	code := exitOfError(err)
 	if asJSON {
--- a/internal/cli/args.go
+++ b/internal/cli/args.go
@@ -7,20 +7,20 @@
 	"github.com/integrii/flaggy"
 )
 
-// commandLine is what the arguments after a command's name hold.
+// commandLine holds the parsed arguments after a command's name.
 type commandLine struct {
-	args    []string // that are no flags or values of flags
-	help    bool
-	version bool
-	parsed  int // arguments before "--"
+	args             []string // positional arguments
+	help             bool
+	version          bool
+	argsBeforeDashes int // number of arguments before "--", or of all arguments
 }
 
-// find returns the command that args name and the arguments after its name. It
-// returns a command without a subcommand if args name none.
-func find(all []command, args []string) (command, []string) {
+// findCommand returns the command that args name and the arguments after its name.
+// The command's sub is nil if args name none.
+func findCommand(all []command, args []string) (command, []string) {
 	var found command
 	for len(args) > 0 {
-		next, ok := named(all, args[0])
+		next, ok := commandByName(all, args[0])
 		if !ok {
 			break
 		}
@@ -29,7 +29,7 @@
 	return found, args
 }
 
-func named(all []command, name string) (command, bool) {
+func commandByName(all []command, name string) (command, bool) {
 	for _, c := range all {
 		if c.sub.Name == name {
 			return c, true
@@ -38,15 +38,15 @@
 	return command{}, false
 }
 
-// scan checks that every flag in args is one of sub's and has a value if it
-// needs one.
-func scan(sub *flaggy.Subcommand, args []string) (commandLine, error) {
-	line := commandLine{parsed: len(args)}
+// scanArgs checks that every flag in args is a flag of sub and has a value if it
+// needs one. sub is nil if no command is named.
+func scanArgs(sub *flaggy.Subcommand, args []string) (commandLine, error) {
+	line := commandLine{argsBeforeDashes: len(args)}
 	for i := 0; i < len(args); i++ {
 		arg := args[i]
 		switch {
 		case arg == "--":
-			line.parsed = i
+			line.argsBeforeDashes = i
 			line.args = append(line.args, args[i+1:]...)
 			return line, nil
 		case arg == "-h" || arg == "--help":
@@ -71,10 +71,10 @@
 	return line, nil
 }
 
-// checkFlag reports whether the flag's value is the next argument.
-func checkFlag(sub *flaggy.Subcommand, arg string, more bool) (bool, error) {
+// checkFlag checks one flag and reports whether its value is the next argument.
+func checkFlag(sub *flaggy.Subcommand, arg string, hasNext bool) (bool, error) {
 	name, _, hasValue := strings.Cut(strings.TrimLeft(arg, "-"), "=")
-	flag := flagOf(sub, name)
+	flag := findFlag(sub, name)
 	if flag == nil {
 		return false, errors.Newf("unknown flag %s", arg)
 	}
@@ -82,13 +82,13 @@
 	if hasValue || isBool {
 		return false, nil
 	}
-	if !more {
+	if !hasNext {
 		return false, errors.Newf("flag %s needs a value", arg)
 	}
 	return true, nil
 }
 
-func flagOf(sub *flaggy.Subcommand, name string) *flaggy.Flag {
+func findFlag(sub *flaggy.Subcommand, name string) *flaggy.Flag {
 	if sub == nil {
 		return nil
 	}
--- a/internal/cli/cell.go
+++ b/internal/cli/cell.go
@@ -9,18 +9,18 @@
 )
 
 func cellCommand() command {
-	var r remote
+	var r remoteFlags
 	sub := subcommand("cell", "Print the instances, shards and workers as one instance sees them.")
-	r.flags(sub)
+	r.register(sub)
 	return command{sub: sub, run: func(ctx context.Context, out, errOut io.Writer) int {
 		return runCell(ctx, &r, out, errOut)
 	}}
 }
 
-func runCell(ctx context.Context, r *remote, out, errOut io.Writer) int {
+func runCell(ctx context.Context, r *remoteFlags, out, errOut io.Writer) int {
 	c, err := r.client()
 	if err != nil {
-		return usage(errOut, "cell", err)
+		return usageError(errOut, "cell", err)
 	}
 	answer, err := c.Cell(ctx)
 	if err != nil {
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -28,7 +28,7 @@
 
 func runCheck(files []string, asJSON bool, out, errOut io.Writer) int {
 	if len(files) == 0 {
-		return usage(errOut, "check", errors.New("no file given"))
+		return usageError(errOut, "check", errors.New("no file given"))
 	}
 	faults := check.Files(files)
 	switch {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of pollenbend.
+// Package cli implements the command line of pollenbend.
 package cli
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// Exit codes. docs/CLI.md says what each means for each command.
+// Exit codes. docs/CLI.md describes the meaning of each for each command.
 const (
 	ExitDone       = 0
 	ExitFailed     = 1
@@ -22,11 +22,11 @@
 // Version is the version of the program.
 const Version = "0.1.0"
 
-// command is one subcommand: its flags and what it does. A command with
-// subcommands of its own does nothing itself.
+// command is one command with its flags. A command that groups other commands has
+// no run function.
 type command struct {
 	sub      *flaggy.Subcommand
-	args     *[]string // gets the arguments that are not flags; nil if it takes none
+	args     *[]string // receives the positional arguments; nil if the command takes none
 	commands []command
 	run      func(ctx context.Context, out, errOut io.Writer) int
 }
@@ -46,8 +46,8 @@
 	parser := flaggy.NewParser("pollenbend")
 	parser.Description = "a cluster scheduler for unlike workloads"
 	parser.Version = Version
-	// Help, versions and wrong flags are handled here, because flaggy ends the
-	// process on each of them.
+	// Help, the version and invalid flags are handled here, because flaggy exits
+	// the process on each of them.
 	parser.ShowHelpWithHFlag = false
 	parser.ShowVersionWithVersionFlag = false
 	parser.ShowHelpOnUnexpected = false
@@ -56,8 +56,8 @@
 	for _, c := range all {
 		parser.AttachSubcommand(c.sub, 1)
 	}
-	found, rest := find(all, args)
-	line, err := scan(found.sub, rest)
+	found, remaining := findCommand(all, args)
+	line, err := scanArgs(found.sub, remaining)
 	if err != nil {
 		fmt.Fprintln(errOut, "pollenbend:", err)
 		return ExitUsage
@@ -66,7 +66,7 @@
 		fmt.Fprintln(out, Version)
 		return ExitDone
 	}
-	if err := parser.ParseArgs(args[:len(args)-len(rest)+line.parsed]); err != nil {
+	if err := parser.ParseArgs(args[:len(args)-len(remaining)+line.argsBeforeDashes]); err != nil {
 		fmt.Fprintln(errOut, "pollenbend:", err)
 		return ExitUsage
 	}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -20,7 +20,7 @@
 	"pollenbend/internal/verdict"
 )
 
-const declared = `
+const validDeclarations = `
 [[team]]
 name = "a"
 share = 1
@@ -29,14 +29,14 @@
 // route is a method and the first part of a path after /v1/.
 type route string
 
-// fake is an instance that gives scripted answers. A route without an answer
+// fakeInstance is an instance with scripted answers. A route without an answer
 // drops the connection.
-type fake map[route]wire.Answer
+type fakeInstance map[route]wire.Answer
 
-func (f fake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f fakeInstance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	if r.Header.Get("Authorization") != "Bearer s3cret" {
-		panic("the key did not come along")
+		panic("the request lacks the key")
 	}
 	parts := strings.Split(r.URL.Path, "/")
 	answer, ok := f[route(r.Method+" "+parts[2])]
@@ -55,7 +55,7 @@
 	return wire.Answer{Verdict: verdict.Done, Version: 7, Answer: body}
 }
 
-func about(id string, v verdict.Verdict, code verdict.Code) wire.Answer {
+func answerAbout(id string, v verdict.Verdict, code verdict.Code) wire.Answer {
 	return wire.Answer{ID: id, Verdict: v, Code: code}
 }
 
@@ -74,106 +74,106 @@
 	return path
 }
 
-// TestExitCodes covers each exit code that each command has.
+// TestExitCodes covers every exit code of every command.
 func TestExitCodes(t *testing.T) {
-	sound, broken := writeFile(t, declared), writeFile(t, "[[team]]\n")
+	valid, invalid := writeFile(t, validDeclarations), writeFile(t, "[[team]]\n")
 	empty := document(model.Declarations{})
 	inForce := document(model.Declarations{Teams: []model.Team{{Name: "a", Share: 1}}, Keys: []model.Key{{Name: "k"}}})
-	doubt := func(id string) wire.Answer { return about(id, verdict.MayHaveRun, verdict.CodeInDoubt) }
+	inDoubt := func(id string) wire.Answer { return answerAbout(id, verdict.MayHaveRun, verdict.CodeInDoubt) }
 	forbidden := refusal(verdict.CodeForbidden)
 	timeline := document(json.RawMessage(`{"instance":"i","incarnation":1,"events":[]}`))
 	tests := []struct {
-		line string
-		fake fake
-		code int
+		line     string
+		instance fakeInstance
+		code     int
 	}{
-		{"check " + sound, nil, ExitDone},
+		{"check " + valid, nil, ExitDone},
 		{"check", nil, ExitUsage},
-		{"check " + broken, nil, ExitUsage},
-		{"diff " + sound, fake{"GET config": empty}, ExitDone},
-		{"diff " + sound, fake{"GET config": inForce}, ExitDone},
-		{"diff " + broken, nil, ExitUsage},
+		{"check " + invalid, nil, ExitUsage},
+		{"diff " + valid, fakeInstance{"GET config": empty}, ExitDone},
+		{"diff " + valid, fakeInstance{"GET config": inForce}, ExitDone},
+		{"diff " + invalid, nil, ExitUsage},
 		{"diff", nil, ExitUsage},
-		{"diff " + sound, fake{"GET config": forbidden}, ExitNotRun},
-		{"apply " + sound, fake{"GET config": empty, "POST config": about("c", verdict.Done, "")}, ExitMayHaveRun}, // another id
-		{"apply --change-id c " + sound, fake{"GET config": empty, "POST config": about("c", verdict.Done, "")}, ExitDone},
-		{"apply --change-id c " + sound, fake{"GET config": document(model.Declarations{Teams: []model.Team{{Name: "a", Share: 1}}})}, ExitDone},
-		{"apply " + broken, nil, ExitUsage},
-		{"apply " + sound, fake{"GET config": empty, "POST config": refusal(verdict.CodeBadRequest)}, ExitUsage},
-		{"apply " + sound, fake{"GET config": empty, "POST config": refusal(verdict.CodeConflict)}, ExitNotRun},
-		{"apply " + sound, fake{"GET config": forbidden}, ExitNotRun},
-		{"apply --change-id c " + sound, fake{"GET config": forbidden}, ExitMayHaveRun},
-		{"apply --change-id c " + sound, fake{"GET config": empty, "POST config": doubt("c")}, ExitMayHaveRun},
-		{"apply " + sound, fake{"GET config": empty}, ExitMayHaveRun},
-		{"submit --queue q --id r", fake{"POST requests": about("r", verdict.Done, "")}, ExitDone},
-		{"submit --queue q --id r", fake{"POST requests": about("r", verdict.Done, verdict.CodeTaskFailed)}, ExitFailed},
+		{"diff " + valid, fakeInstance{"GET config": forbidden}, ExitNotRun},
+		{"apply " + valid, fakeInstance{"GET config": empty, "POST config": answerAbout("c", verdict.Done, "")}, ExitMayHaveRun}, // another id
+		{"apply --change-id c " + valid, fakeInstance{"GET config": empty, "POST config": answerAbout("c", verdict.Done, "")}, ExitDone},
+		{"apply --change-id c " + valid, fakeInstance{"GET config": document(model.Declarations{Teams: []model.Team{{Name: "a", Share: 1}}})}, ExitDone},
+		{"apply " + invalid, nil, ExitUsage},
+		{"apply " + valid, fakeInstance{"GET config": empty, "POST config": refusal(verdict.CodeBadRequest)}, ExitUsage},
+		{"apply " + valid, fakeInstance{"GET config": empty, "POST config": refusal(verdict.CodeConflict)}, ExitNotRun},
+		{"apply " + valid, fakeInstance{"GET config": forbidden}, ExitNotRun},
+		{"apply --change-id c " + valid, fakeInstance{"GET config": forbidden}, ExitMayHaveRun},
+		{"apply --change-id c " + valid, fakeInstance{"GET config": empty, "POST config": inDoubt("c")}, ExitMayHaveRun},
+		{"apply " + valid, fakeInstance{"GET config": empty}, ExitMayHaveRun},
+		{"submit --queue q --id r", fakeInstance{"POST requests": answerAbout("r", verdict.Done, "")}, ExitDone},
+		{"submit --queue q --id r", fakeInstance{"POST requests": answerAbout("r", verdict.Done, verdict.CodeTaskFailed)}, ExitFailed},
 		{"submit --queue q --id r --payload {", nil, ExitUsage},
 		{"submit --queue q --id r --ticket t", nil, ExitUsage},
-		{"submit --id r", fake{"POST requests": about("r", verdict.Done, "")}, ExitDone},
+		{"submit --id r", fakeInstance{"POST requests": answerAbout("r", verdict.Done, "")}, ExitDone},
 		{"submit r", nil, ExitUsage},
-		{"submit --queue q --id r", fake{"POST requests": refusal(verdict.CodeNeverFits)}, ExitNotRun},
-		{"submit --queue q --id r", fake{"POST requests": doubt("r")}, ExitMayHaveRun},
-		{"submit --queue q --id r --timeout 1s", fake{}, ExitMayHaveRun},
-		{"submit --job --queue q --id j --count 2", fake{"POST jobs": about("j", verdict.Pending, "")}, ExitDone},
+		{"submit --queue q --id r", fakeInstance{"POST requests": refusal(verdict.CodeNeverFits)}, ExitNotRun},
+		{"submit --queue q --id r", fakeInstance{"POST requests": inDoubt("r")}, ExitMayHaveRun},
+		{"submit --queue q --id r --timeout 1s", fakeInstance{}, ExitMayHaveRun},
+		{"submit --job --queue q --id j --count 2", fakeInstance{"POST jobs": answerAbout("j", verdict.Pending, "")}, ExitDone},
 		{"submit --job --queue q --id j --count 0", nil, ExitUsage},
 		{"submit --job --queue q --id j --timeout 1s", nil, ExitUsage},
-		{"submit --job --queue q --id j", fake{"POST jobs": forbidden}, ExitNotRun},
-		{"submit --job --queue q --id j", fake{"POST jobs": doubt("j")}, ExitMayHaveRun},
-		{"status r", fake{"GET requests": about("r", verdict.Done, "")}, ExitDone},
-		{"status --why r", fake{"GET requests": about("r", verdict.Pending, "")}, ExitDone},
-		{"status --job j", fake{"GET jobs": about("j", verdict.Done, verdict.CodeTaskFailed)}, ExitFailed},
+		{"submit --job --queue q --id j", fakeInstance{"POST jobs": forbidden}, ExitNotRun},
+		{"submit --job --queue q --id j", fakeInstance{"POST jobs": inDoubt("j")}, ExitMayHaveRun},
+		{"status r", fakeInstance{"GET requests": answerAbout("r", verdict.Done, "")}, ExitDone},
+		{"status --why r", fakeInstance{"GET requests": answerAbout("r", verdict.Pending, "")}, ExitDone},
+		{"status --job j", fakeInstance{"GET jobs": answerAbout("j", verdict.Done, verdict.CodeTaskFailed)}, ExitFailed},
 		{"status", nil, ExitUsage},
 		{"status r s", nil, ExitUsage},
-		{"status r", fake{"GET requests": about("r", verdict.NotRun, verdict.CodeCanceled)}, ExitNotRun},
-		{"status r", fake{"GET requests": refusal(verdict.CodeNotFound)}, ExitMayHaveRun},
-		{"status r", fake{"GET requests": about("r", verdict.NotRun, verdict.CodeNotFound)}, ExitNotRun},
-		{"status r", fake{"GET requests": forbidden}, ExitMayHaveRun},
-		{"cancel r", fake{"DELETE requests": about("r", verdict.NotRun, verdict.CodeCanceled)}, ExitDone},
-		{"cancel --job j", fake{"DELETE jobs": about("j", verdict.NotRun, verdict.CodeCanceled)}, ExitDone},
+		{"status r", fakeInstance{"GET requests": answerAbout("r", verdict.NotRun, verdict.CodeCanceled)}, ExitNotRun},
+		{"status r", fakeInstance{"GET requests": refusal(verdict.CodeNotFound)}, ExitMayHaveRun},
+		{"status r", fakeInstance{"GET requests": answerAbout("r", verdict.NotRun, verdict.CodeNotFound)}, ExitNotRun},
+		{"status r", fakeInstance{"GET requests": forbidden}, ExitMayHaveRun},
+		{"cancel r", fakeInstance{"DELETE requests": answerAbout("r", verdict.NotRun, verdict.CodeCanceled)}, ExitDone},
+		{"cancel --job j", fakeInstance{"DELETE jobs": answerAbout("j", verdict.NotRun, verdict.CodeCanceled)}, ExitDone},
 		{"cancel", nil, ExitUsage},
-		{"cancel r", fake{"DELETE requests": about("r", verdict.Done, "")}, ExitNotRun},
-		{"cancel r", fake{"DELETE requests": about("r", verdict.Pending, "")}, ExitMayHaveRun},
-		{"cancel r", fake{"DELETE requests": forbidden}, ExitMayHaveRun},
-		{"cell", fake{"GET cell": document(1)}, ExitDone},
+		{"cancel r", fakeInstance{"DELETE requests": answerAbout("r", verdict.Done, "")}, ExitNotRun},
+		{"cancel r", fakeInstance{"DELETE requests": answerAbout("r", verdict.Pending, "")}, ExitMayHaveRun},
+		{"cancel r", fakeInstance{"DELETE requests": forbidden}, ExitMayHaveRun},
+		{"cell", fakeInstance{"GET cell": document(1)}, ExitDone},
 		{"cell x", nil, ExitUsage},
-		{"cell", fake{"GET cell": forbidden}, ExitNotRun},
-		{"drain", fake{"POST drain": document(1)}, ExitDone},
+		{"cell", fakeInstance{"GET cell": forbidden}, ExitNotRun},
+		{"drain", fakeInstance{"POST drain": document(1)}, ExitDone},
 		{"drain --server a --server b", nil, ExitUsage},
-		{"drain", fake{"POST drain": forbidden}, ExitNotRun},
-		{"drain", fake{}, ExitMayHaveRun},
-		{"timeline", fake{"GET timeline": timeline}, ExitDone},
+		{"drain", fakeInstance{"POST drain": forbidden}, ExitNotRun},
+		{"drain", fakeInstance{}, ExitMayHaveRun},
+		{"timeline", fakeInstance{"GET timeline": timeline}, ExitDone},
 		{"timeline --follow=x", nil, ExitUsage},
-		{"timeline", fake{"GET timeline": forbidden}, ExitNotRun},
+		{"timeline", fakeInstance{"GET timeline": forbidden}, ExitNotRun},
 		{"keys", nil, ExitUsage},
 		{"keys new k2 --team a", nil, ExitDone},
 		{"keys new k2 --team a --operator", nil, ExitUsage},
-		{"keys new k2 --team a --secret-file " + sound, nil, ExitUsage}, // it is there already
-		{"keys new k --team a --apply", fake{"GET config": inForce}, ExitUsage},
-		{"keys new k2 --team a --apply", fake{"GET config": forbidden}, ExitNotRun},
-		{"keys new k2 --team a --apply", fake{"GET config": inForce}, ExitMayHaveRun},
-		{"keys list", fake{"GET config": inForce}, ExitDone},
+		{"keys new k2 --team a --secret-file " + valid, nil, ExitUsage}, // the file exists
+		{"keys new k --team a --apply", fakeInstance{"GET config": inForce}, ExitUsage},
+		{"keys new k2 --team a --apply", fakeInstance{"GET config": forbidden}, ExitNotRun},
+		{"keys new k2 --team a --apply", fakeInstance{"GET config": inForce}, ExitMayHaveRun},
+		{"keys list", fakeInstance{"GET config": inForce}, ExitDone},
 		{"keys list x", nil, ExitUsage},
-		{"keys list", fake{"GET config": forbidden}, ExitNotRun},
+		{"keys list", fakeInstance{"GET config": forbidden}, ExitNotRun},
 		{"keys withdraw", nil, ExitUsage},
-		{"keys withdraw other", fake{"GET config": inForce}, ExitUsage},
-		{"keys withdraw k", fake{"GET config": inForce, "POST config": refusal(verdict.CodeConflict)}, ExitNotRun},
-		{"keys withdraw k", fake{"GET config": inForce}, ExitMayHaveRun},
+		{"keys withdraw other", fakeInstance{"GET config": inForce}, ExitUsage},
+		{"keys withdraw k", fakeInstance{"GET config": inForce, "POST config": refusal(verdict.CodeConflict)}, ExitNotRun},
+		{"keys withdraw k", fakeInstance{"GET config": inForce}, ExitMayHaveRun},
 		{"version", nil, ExitDone},
 		{"version x", nil, ExitUsage},
 		{"serve", nil, ExitUsage},
-		{"serve --settings " + broken, nil, ExitUsage},
+		{"serve --settings " + invalid, nil, ExitUsage},
 		{"standin --example none", nil, ExitUsage},
 		{"dev --example none", nil, ExitUsage},
 	}
 	for _, tt := range tests {
 		t.Run(tt.line, func(t *testing.T) {
-			server := httptest.NewServer(tt.fake)
+			server := httptest.NewServer(tt.instance)
 			defer server.Close()
 			t.Setenv(envServers, server.URL)
 			t.Setenv(envKey, "s3cret")
 			code, out, errOut := run(t, strings.Fields(tt.line)...)
 			require.Equal(t, tt.code, code, out+errOut)
-			takesJSON := tt.fake != nil
+			takesJSON := tt.instance != nil
 			if takesJSON {
 				code, out, errOut = run(t, append(strings.Fields(tt.line), "--json")...)
 				require.Equal(t, tt.code, code, out+errOut)
@@ -217,8 +217,8 @@
 	}
 }
 
-func TestEveryServerAndFileIsTaken(t *testing.T) {
-	a := writeFile(t, declared)
+func TestSeveralServersAndFiles(t *testing.T) {
+	a := writeFile(t, validDeclarations)
 	code, out, _ := run(t, "check", a, "--json", a)
 	require.Equal(t, ExitDone, code)
 	require.JSONEq(t, `{"files":2,"faults":[]}`, out)
@@ -226,7 +226,7 @@
 	var servers []string
 	for _, id := range []string{"a", "b"} {
 		d := document(json.RawMessage(`{"instance":"` + id + `","incarnation":1,"events":[{"seq":1,"kind":"k"}]}`))
-		server := httptest.NewServer(fake{"GET timeline": d})
+		server := httptest.NewServer(fakeInstance{"GET timeline": d})
 		defer server.Close()
 		servers = append(servers, "--server", server.URL)
 	}
@@ -237,8 +237,8 @@
 }
 
 func TestMessagesOfApply(t *testing.T) {
-	file := writeFile(t, declared)
-	f := fake{"GET config": document(model.Declarations{}), "POST config": refusal(verdict.CodeConflict)}
+	file := writeFile(t, validDeclarations)
+	f := fakeInstance{"GET config": document(model.Declarations{}), "POST config": refusal(verdict.CodeConflict)}
 	server := httptest.NewServer(f)
 	defer server.Close()
 	args := []string{"apply", "--server", server.URL, "--key", "s3cret", "--change-id", "c7", file}
@@ -250,8 +250,8 @@
 	require.Contains(t, errOut, "--change-id")
 }
 
-// TestFollow reads two servers again and again. The first event of a has its cause
-// at b, which tells of it a round later; then a restarts and counts anew.
+// TestFollow polls two servers. The first event of a has its cause at b, which
+// returns it one round later; then a restarts and numbers its events from 1 again.
 func TestFollow(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -269,7 +269,7 @@
 		},
 	}
 	wantSince := map[string][]string{"a": {"0", "1", "1", "0"}, "b": {"0", "1", "2"}}
-	var r remote
+	var r remoteFlags
 	for _, id := range []string{"a", "b"} {
 		round := 0
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -278,7 +278,7 @@
 				round--
 			}
 			if q.URL.Query().Get("since") != wantSince[id][round] {
-				panic("round " + wantSince[id][round] + " asks since " + q.URL.Query().Get("since"))
+				panic("round " + wantSince[id][round] + " requests since " + q.URL.Query().Get("since"))
 			}
 			_ = json.NewEncoder(w).Encode(document(json.RawMessage(rounds[id][round])))
 			round++
--- a/internal/cli/declarations.go
+++ b/internal/cli/declarations.go
@@ -12,28 +12,29 @@
 	"pollenbend/internal/model"
 )
 
-// inForce is the configuration that a server reports.
-type inForce struct {
+// serverConfig is the configuration in force, as a server reports it.
+type serverConfig struct {
 	version      uint64
 	declarations model.Declarations
 }
 
-func fetchConfig(ctx context.Context, c *client.Client) (inForce, error) {
+func fetchConfig(ctx context.Context, c *client.Client) (serverConfig, error) {
 	answer, err := c.Config(ctx)
 	if err != nil {
-		return inForce{}, err
+		return serverConfig{}, err
 	}
-	f := inForce{version: answer.Version}
-	if err := json.Unmarshal(answer.Body(), &f.declarations); err != nil {
-		return inForce{}, errors.Wrap(err, "read the configuration")
+	config := serverConfig{version: answer.Version}
+	if err := json.Unmarshal(answer.Body(), &config.declarations); err != nil {
+		return serverConfig{}, errors.Wrap(err, "read the configuration")
 	}
-	return f, nil
+	return config, nil
 }
 
-// loadDeclarations reads declarations files and prints their faults.
+// loadDeclarations reads declarations files and prints their faults. It returns
+// false if there are any.
 func loadDeclarations(name string, files []string, errOut io.Writer) (model.Declarations, bool) {
 	if len(files) == 0 {
-		usage(errOut, name, errors.New("no file given"))
+		usageError(errOut, name, errors.New("no file given"))
 		return model.Declarations{}, false
 	}
 	d, faults := declare.Load(files...)
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	devInstances = 3
-	devReadyWait = 30 * time.Second
-	devPoll      = 50 * time.Millisecond
+	devInstances    = 3
+	devReadyTimeout = 30 * time.Second
+	devPollInterval = 50 * time.Millisecond
 )
 
 func devCommand() command {
@@ -46,7 +46,8 @@
 	}}
 }
 
-// devCell is a whole cell in one process.
+// devCell is a complete cell in one process: the stand-ins for the platform and
+// all instances.
 type devCell struct {
 	example   example.Example
 	platform  *standin.Platform
@@ -54,11 +55,11 @@
 }
 
 func runDev(ctx context.Context, name string, out io.Writer, logger *slog.Logger) (int, error) {
-	load := name
-	if load == "" {
-		load = examples.Names()[0]
+	exampleName := name
+	if exampleName == "" {
+		exampleName = examples.Names()[0]
 	}
-	ex, err := examples.Load(load)
+	ex, err := examples.Load(exampleName)
 	if err != nil {
 		return ExitUsage, err
 	}
@@ -73,14 +74,14 @@
 	for _, i := range cell.instances {
 		fmt.Fprintf(out, "  %s  http://%s\n", i.Info().ID, i.Info().HTTPAddr)
 	}
-	if err := cell.awaitReady(ctx); err != nil {
+	if err := cell.waitReady(ctx); err != nil {
 		return ExitNotRun, err
 	}
 	version, err := cell.apply(ctx)
 	if err != nil {
 		return ExitNotRun, err
 	}
-	if err := cell.awaitVersion(ctx, version); err != nil {
+	if err := cell.waitVersion(ctx, version); err != nil {
 		return ExitNotRun, err
 	}
 	fmt.Fprintf(out, "declarations of %q applied, version %d\n", ex.Name, version)
@@ -121,7 +122,8 @@
 	return cell, nil
 }
 
-// Timing of the dev command, shorter than the default so that it starts quickly.
+// Timing of the dev command's instances, shorter than the defaults so that the cell
+// is ready quickly.
 const (
 	devHeartbeat = 200 * time.Millisecond
 	devDeadAfter = time.Second
@@ -129,7 +131,8 @@
 
 func newCA() (*transport.DevCA, error) { return transport.NewDevCA(rand.Reader) }
 
-// instanceSettings returns the settings of instance number i of an example.
+// instanceSettings returns the settings of instance i, counted from 0, of an
+// example.
 func instanceSettings(ca *transport.DevCA, p example.Platform, i int, url string) (settings.Settings, error) {
 	s := settings.Default()
 	zone := p.Zones[i%len(p.Zones)]
@@ -153,13 +156,14 @@
 	}
 }
 
-func (c *devCell) awaitReady(ctx context.Context) error {
-	return c.await(ctx, func(i *instance.Instance) (bool, string) { return i.Ready() })
+func (c *devCell) waitReady(ctx context.Context) error {
+	return c.waitAll(ctx, func(i *instance.Instance) (bool, string) { return i.Ready() })
 }
 
-// awaitVersion waits until every instance has the configuration of that version.
-func (c *devCell) awaitVersion(ctx context.Context, version uint64) error {
-	return c.await(ctx, func(i *instance.Instance) (bool, string) {
+// waitVersion waits until every instance has the configuration of that version or a
+// later one.
+func (c *devCell) waitVersion(ctx context.Context, version uint64) error {
+	return c.waitAll(ctx, func(i *instance.Instance) (bool, string) {
 		cl, err := client.New(client.Config{Servers: []string{i.Info().HTTPAddr}, Key: c.example.OperatorSecret()})
 		if err != nil {
 			return false, err.Error()
@@ -172,25 +176,26 @@
 	})
 }
 
-// await waits until done is true for every instance.
-func (c *devCell) await(ctx context.Context, done func(*instance.Instance) (ok bool, state string)) error {
-	ctx, cancel := context.WithTimeout(ctx, devReadyWait)
+// waitAll polls until check returns true for every instance, at most
+// devReadyTimeout.
+func (c *devCell) waitAll(ctx context.Context, check func(*instance.Instance) (ok bool, state string)) error {
+	ctx, cancel := context.WithTimeout(ctx, devReadyTimeout)
 	defer cancel()
-	ticker := time.NewTicker(devPoll)
+	ticker := time.NewTicker(devPollInterval)
 	defer ticker.Stop()
 	for {
-		waiting := ""
+		notReady := ""
 		for _, i := range c.instances {
-			if ok, state := done(i); !ok {
-				waiting = fmt.Sprintf("%s: %s", i.Info().ID, state)
+			if ok, state := check(i); !ok {
+				notReady = fmt.Sprintf("%s: %s", i.Info().ID, state)
 			}
 		}
-		if waiting == "" {
+		if notReady == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Newf("not ready in %s: %s", devReadyWait, waiting)
+			return errors.Newf("not ready in %s: %s", devReadyTimeout, notReady)
 		case <-ticker.C:
 		}
 	}
--- a/internal/cli/diff.go
+++ b/internal/cli/diff.go
@@ -10,10 +10,10 @@
 )
 
 func diffCommand() command {
-	var r remote
+	var r remoteFlags
 	var files []string
 	sub := subcommand("diff", "Print what apply would change: diff FILE…")
-	r.flags(sub)
+	r.register(sub)
 	return command{sub: sub, args: &files, run: func(ctx context.Context, out, errOut io.Writer) int {
 		return runDiff(ctx, &r, files, out, errOut)
 	}}
@@ -25,28 +25,28 @@
 	Change  model.Change `json:"change"`
 }
 
-func runDiff(ctx context.Context, r *remote, files []string, out, errOut io.Writer) int {
-	wanted, ok := loadDeclarations("diff", files, errOut)
+func runDiff(ctx context.Context, r *remoteFlags, files []string, out, errOut io.Writer) int {
+	desired, ok := loadDeclarations("diff", files, errOut)
 	if !ok {
 		return ExitUsage
 	}
 	c, err := r.client()
 	if err != nil {
-		return usage(errOut, "diff", err)
+		return usageError(errOut, "diff", err)
 	}
-	now, err := fetchConfig(ctx, c)
+	current, err := fetchConfig(ctx, c)
 	if err != nil {
 		return fail(out, errOut, r.json, "diff", nil, err, exitOfRead(err))
 	}
-	change := declare.Diff(now.declarations, wanted)
-	change.Base = now.version
+	change := declare.Diff(current.declarations, desired)
+	change.Base = current.version
 	switch {
 	case r.json:
-		printJSON(out, diffReport{Version: now.version, Change: change})
+		printJSON(out, diffReport{Version: current.version, Change: change})
 	case declare.IsEmpty(change):
-		fmt.Fprintf(out, "no difference from version %d\n", now.version)
+		fmt.Fprintf(out, "no difference from version %d\n", current.version)
 	default:
-		fmt.Fprint(out, declare.Render(now.declarations, change))
+		fmt.Fprint(out, declare.Render(current.declarations, change))
 	}
 	return ExitDone
 }
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -9,22 +9,22 @@
 )
 
 func drainCommand() command {
-	var r remote
+	var r remoteFlags
 	sub := subcommand("drain", "Start the planned stop of one instance.")
-	r.flags(sub)
+	r.register(sub)
 	return command{sub: sub, run: func(ctx context.Context, out, errOut io.Writer) int {
 		return runDrain(ctx, &r, out, errOut)
 	}}
 }
 
-func runDrain(ctx context.Context, r *remote, out, errOut io.Writer) int {
+func runDrain(ctx context.Context, r *remoteFlags, out, errOut io.Writer) int {
 	servers := r.allServers()
 	if len(servers) != 1 {
-		return usage(errOut, "drain", errors.Newf("give the one server to drain; there are %d", len(servers)))
+		return usageError(errOut, "drain", errors.Newf("give the one server to drain; there are %d", len(servers)))
 	}
 	c, err := r.client()
 	if err != nil {
-		return usage(errOut, "drain", err)
+		return usageError(errOut, "drain", err)
 	}
 	answer, err := c.Drain(ctx)
 	if err != nil {
--- a/internal/cli/example.go
+++ b/internal/cli/example.go
@@ -17,17 +17,18 @@
 	"pollenbend/internal/verdict"
 )
 
-// exampleResult is one request of an example and its answer.
+// exampleResult is one request of an example with its answer or error.
 type exampleResult struct {
 	request example.Request
 	answer  *wire.Answer
 	err     error
 }
 
-const exampleTimeout = 20 * time.Second
+const exampleCallTimeout = 20 * time.Second
 
-// runExample sends the example's requests, prints what came of each and returns
-// the exit code: done only if every answer was complete and true.
+// runExample sends the example's requests, prints the result of each and returns the
+// exit code, which is ExitDone only if every answer is complete and agrees with the
+// workers' records.
 func (c *devCell) runExample(ctx context.Context, out io.Writer) (int, error) {
 	results := make([]exampleResult, len(c.example.Requests))
 	var group errgroup.Group
@@ -44,8 +45,8 @@
 	c.printShares(out, results)
 	code := ExitDone
 	for _, r := range results {
-		if why := c.untrue(r); why != "" {
-			fmt.Fprintf(out, "FAULT %s %s: %s\n", r.request.Queue, r.request.Service, why)
+		if reason := c.mismatch(r); reason != "" {
+			fmt.Fprintf(out, "FAULT %s %s: %s\n", r.request.Queue, r.request.Service, reason)
 			code = ExitMayHaveRun
 		}
 	}
@@ -65,14 +66,14 @@
 	if err != nil {
 		return exampleResult{request: r, err: err}
 	}
-	call := wire.Call{Queue: r.Queue, Service: r.Service, Payload: payload, Timeout: exampleTimeout.String()}
+	call := wire.Call{Queue: r.Queue, Service: r.Service, Payload: payload, Timeout: exampleCallTimeout.String()}
 	answer, err := cl.Call(ctx, call, client.Identity{})
 	return exampleResult{request: r, answer: answer, err: err}
 }
 
-// untrue compares an answer with what the workers themselves recorded. It returns
-// what is wrong, or nothing.
-func (c *devCell) untrue(r exampleResult) string {
+// mismatch compares an answer with the workers' own records. It returns a
+// description of the difference, or an empty string if there is none.
+func (c *devCell) mismatch(r exampleResult) string {
 	if r.err != nil {
 		return r.err.Error()
 	}
@@ -115,7 +116,7 @@
 	_ = w.Flush()
 }
 
-// printShares prints each team's part of the requests served beside its share.
+// printShares prints each team's declared share and its number of served requests.
 func (c *devCell) printShares(out io.Writer, results []exampleResult) {
 	served := make(map[model.TeamID]int)
 	total := 0
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -16,18 +16,19 @@
 
 func keysCommand() command {
 	sub := subcommand("keys", "Draw, list and withdraw keys.")
-	children := []command{keysNewCommand(), keysListCommand(), keysWithdrawCommand()}
-	for _, c := range children {
+	subcommands := []command{keysNewCommand(), keysListCommand(), keysWithdrawCommand()}
+	for _, c := range subcommands {
 		sub.AttachSubcommand(c.sub, 1)
 	}
-	return command{sub: sub, commands: children}
+	return command{sub: sub, commands: subcommands}
 }
 
-const secretMode = 0o600
+// secretFileMode lets only the owner read a secret.
+const secretFileMode = 0o600
 
-// newKeyOptions are the flags of the keys new command.
+// newKeyOptions holds the flags of the keys new command.
 type newKeyOptions struct {
-	remote
+	remoteFlags
 	team     string
 	operator bool
 	apply    bool
@@ -38,7 +39,7 @@
 	var o newKeyOptions
 	var names []string
 	sub := subcommand("new", "Draw a secret and print it once, with the key to declare: keys new NAME")
-	o.flags(sub)
+	o.register(sub)
 	sub.String(&o.team, "", "team", "team that the key is for")
 	sub.Bool(&o.operator, "", "operator", "make an operator's key")
 	sub.Bool(&o.apply, "", "apply", "declare the key at once")
@@ -48,18 +49,18 @@
 	}}
 }
 
-// newKey is the JSON output of the keys new command.
-type newKey struct {
+// newKeyOutput is the JSON output of the keys new command.
+type newKeyOutput struct {
 	Secret string    `json:"secret,omitempty"`
 	Key    model.Key `json:"key"`
 }
 
 func runKeysNew(ctx context.Context, o *newKeyOptions, names []string, out, errOut io.Writer) int {
 	if len(names) != 1 {
-		return usage(errOut, "keys new", errors.New("give one name"))
+		return usageError(errOut, "keys new", errors.New("give one name"))
 	}
 	if o.operator == (o.team != "") {
-		return usage(errOut, "keys new", errors.New("give --team TEAM or --operator"))
+		return usageError(errOut, "keys new", errors.New("give --team TEAM or --operator"))
 	}
 	secret, hash, err := declare.NewSecret(rand.Reader)
 	if err != nil {
@@ -71,7 +72,7 @@
 	}
 	if o.file != "" {
 		if err := writeSecret(o.file, secret); err != nil {
-			return usage(errOut, "keys new", err)
+			return usageError(errOut, "keys new", err)
 		}
 		secret = ""
 	}
@@ -79,17 +80,17 @@
 		return printKey(out, o.json, secret, key)
 	}
 	change := model.Change{Put: model.Declarations{Keys: []model.Key{key}}}
-	code := changeKeys(ctx, &o.remote, "keys new", change, errOut)
+	code := changeKeys(ctx, &o.remoteFlags, "keys new", change, errOut)
 	if code == ExitDone || code == ExitMayHaveRun {
 		printKey(out, o.json, secret, key)
 	}
 	return code
 }
 
-// writeSecret writes a secret to a file that is not there yet and that only its
-// owner can read.
+// writeSecret writes a secret to a new file that only its owner can read. It fails
+// if the file exists.
 func writeSecret(path, secret string) error {
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, secretMode)
+	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, secretFileMode)
 	if err != nil {
 		return errors.Wrap(err, "write the secret")
 	}
@@ -99,7 +100,7 @@
 
 func printKey(out io.Writer, asJSON bool, secret string, key model.Key) int {
 	if asJSON {
-		printJSON(out, newKey{Secret: secret, Key: key})
+		printJSON(out, newKeyOutput{Secret: secret, Key: key})
 		return ExitDone
 	}
 	block, err := declare.Marshal(model.Declarations{Keys: []model.Key{key}})
@@ -114,25 +115,26 @@
 	return ExitDone
 }
 
-// changeKeys applies a change to the configuration in force and reports it to
-// errOut alone, so that standard output holds the key only.
-func changeKeys(ctx context.Context, r *remote, name string, change model.Change, errOut io.Writer) int {
+// changeKeys applies a change to the configuration in force. It reports the result
+// to errOut only, so that standard output contains nothing but the key.
+func changeKeys(ctx context.Context, r *remoteFlags, name string, change model.Change, errOut io.Writer) int {
 	c, err := r.client()
 	if err != nil {
-		return usage(errOut, name, err)
+		return usageError(errOut, name, err)
 	}
-	now, err := fetchConfig(ctx, c)
+	current, err := fetchConfig(ctx, c)
 	if err != nil {
 		return fail(errOut, errOut, false, name, nil, err, ExitNotRun)
 	}
-	if err := checkKeys(now.declarations, change); err != nil {
-		return usage(errOut, name, err)
+	if err := checkKeys(current.declarations, change); err != nil {
+		return usageError(errOut, name, err)
 	}
-	change.Base = now.version
+	change.Base = current.version
 	return sendChange(ctx, c, name, change, false, errOut, errOut)
 }
 
-// checkKeys reports a key that is made twice or withdrawn without being there.
+// checkKeys returns an error if the change adds a key that is already declared or
+// withdraws one that is not.
 func checkKeys(d model.Declarations, change model.Change) error {
 	declared := map[string]bool{}
 	for _, k := range d.Keys {
@@ -152,30 +154,30 @@
 }
 
 func keysListCommand() command {
-	var r remote
+	var r remoteFlags
 	sub := subcommand("list", "List the keys in force.")
-	r.flags(sub)
+	r.register(sub)
 	return command{sub: sub, run: func(ctx context.Context, out, errOut io.Writer) int {
 		return runKeysList(ctx, &r, out, errOut)
 	}}
 }
 
-func runKeysList(ctx context.Context, r *remote, out, errOut io.Writer) int {
+func runKeysList(ctx context.Context, r *remoteFlags, out, errOut io.Writer) int {
 	c, err := r.client()
 	if err != nil {
-		return usage(errOut, "keys list", err)
+		return usageError(errOut, "keys list", err)
 	}
-	now, err := fetchConfig(ctx, c)
+	current, err := fetchConfig(ctx, c)
 	if err != nil {
 		return fail(out, errOut, r.json, "keys list", nil, err, exitOfRead(err))
 	}
 	if r.json {
-		printJSON(out, append([]model.Key{}, now.declarations.Keys...))
+		printJSON(out, append([]model.Key{}, current.declarations.Keys...))
 		return ExitDone
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tSCOPE\tTEAM\tSHA256")
-	for _, k := range now.declarations.Keys {
+	for _, k := range current.declarations.Keys {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", k.Name, k.Scope, k.Team, k.SHA256)
 	}
 	_ = w.Flush()
@@ -183,18 +185,18 @@
 }
 
 func keysWithdrawCommand() command {
-	var r remote
+	var r remoteFlags
 	var names []string
 	sub := subcommand("withdraw", "Withdraw keys: keys withdraw NAME…")
-	r.flags(sub)
+	r.register(sub)
 	return command{sub: sub, args: &names, run: func(ctx context.Context, out, errOut io.Writer) int {
 		return runKeysWithdraw(ctx, &r, names, out, errOut)
 	}}
 }
 
-func runKeysWithdraw(ctx context.Context, r *remote, names []string, out, errOut io.Writer) int {
+func runKeysWithdraw(ctx context.Context, r *remoteFlags, names []string, out, errOut io.Writer) int {
 	if len(names) == 0 {
-		return usage(errOut, "keys withdraw", errors.New("give a name"))
+		return usageError(errOut, "keys withdraw", errors.New("give a name"))
 	}
 	var change model.Change
 	for _, name := range names {
--- a/internal/cli/progress.go
+++ b/internal/cli/progress.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	progressAfter = 500 * time.Millisecond
-	progressEvery = time.Second
+	progressDelay    = 500 * time.Millisecond
+	progressInterval = time.Second
 )
 
-// showProgress writes what is waited for to a terminal until the returned
-// function is called. It writes nothing if w is no terminal.
-func showProgress(w io.Writer, what string) (stop func()) {
+// showProgress shows the activity and its duration on a terminal until the returned
+// function is called. It writes nothing if w is not a terminal.
+func showProgress(w io.Writer, activity string) (stop func()) {
 	if !isTerminal(w) {
 		return func() {}
 	}
 	done, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
-		writeProgress(w, what, done)
+		writeProgress(w, activity, done)
 	}()
 	return func() {
 		close(done)
@@ -29,9 +29,9 @@
 	}
 }
 
-func writeProgress(w io.Writer, what string, done <-chan struct{}) {
+func writeProgress(w io.Writer, activity string, done <-chan struct{}) {
 	start := time.Now()
-	timer := time.NewTimer(progressAfter)
+	timer := time.NewTimer(progressDelay)
 	defer timer.Stop()
 	shown := false
 	for {
@@ -42,9 +42,9 @@
 			}
 			return
 		case <-timer.C:
-			fmt.Fprintf(w, "\r\x1b[K%s, %s", what, time.Since(start).Round(time.Second))
+			fmt.Fprintf(w, "\r\x1b[K%s, %s", activity, time.Since(start).Round(time.Second))
 			shown = true
-			timer.Reset(progressEvery)
+			timer.Reset(progressInterval)
 		}
 	}
 }
--- a/internal/cli/remote.go
+++ b/internal/cli/remote.go
@@ -10,38 +10,40 @@
 	"pollenbend/internal/client"
 )
 
-// Environment variables that stand in for flags.
+// Environment variables that are the defaults of flags.
 const (
 	envServers = "POLLENBEND_SERVERS"
 	envKey     = "POLLENBEND_KEY"
 	envKeyFile = "POLLENBEND_KEY_FILE"
 )
 
-// remote holds the flags of the commands that call the HTTP API.
-type remote struct {
+// remoteFlags holds the flags of the commands that call the HTTP API.
+type remoteFlags struct {
 	servers []string
 	key     string
 	keyFile string
 	json    bool
 }
 
-func (r *remote) flags(sub *flaggy.Subcommand) {
+func (r *remoteFlags) register(sub *flaggy.Subcommand) {
 	sub.StringSlice(&r.servers, "s", "server", "base URL of an instance; may be repeated; $"+envServers+" by default")
 	sub.String(&r.key, "k", "key", "secret of the caller's key; $"+envKey+" by default")
 	sub.String(&r.keyFile, "", "key-file", "file that holds the secret; $"+envKeyFile+" by default")
 	sub.Bool(&r.json, "", "json", "print JSON")
 }
 
-// allServers returns the servers given by flags, or else by the environment.
-func (r *remote) allServers() []string {
+// allServers returns the servers given by flags, or those of the environment if
+// there are none.
+func (r *remoteFlags) allServers() []string {
 	if len(r.servers) > 0 {
 		return r.servers
 	}
 	return strings.FieldsFunc(os.Getenv(envServers), func(c rune) bool { return c == ',' || c == ' ' })
 }
 
-// secret returns the caller's secret, empty when none is given.
-func (r *remote) secret() (string, error) {
+// secret returns the secret of the caller's key, or an empty string if none is
+// given.
+func (r *remoteFlags) secret() (string, error) {
 	file := r.keyFile
 	switch {
 	case r.key != "" && file != "":
@@ -63,10 +65,10 @@
 	return strings.TrimSpace(string(data)), nil
 }
 
-// client returns a client of all servers.
-func (r *remote) client() (*client.Client, error) { return r.clientOf(r.allServers()...) }
+// client returns a client that uses all servers.
+func (r *remoteFlags) client() (*client.Client, error) { return r.newClient(r.allServers()...) }
 
-func (r *remote) clientOf(servers ...string) (*client.Client, error) {
+func (r *remoteFlags) newClient(servers ...string) (*client.Client, error) {
 	if len(servers) == 0 {
 		return nil, errors.Newf("no server given: use --server URL or set %s", envServers)
 	}
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -29,8 +29,9 @@
 	}}
 }
 
-// runReplay returns ExitDone if the outcomes are the expected ones, ExitNotRun if
-// not, and ExitUsage with an error if a file cannot be read.
+// runReplay replays a trace and compares or prints its outcomes. It returns
+// ExitDone if they are the expected ones, ExitNotRun if not, and ExitUsage with an
+// error if a file cannot be read.
 func runReplay(trace, expect string, out io.Writer) (int, error) {
 	got, err := replayFile(trace)
 	if err != nil {
@@ -49,12 +50,12 @@
 	if err != nil {
 		return ExitUsage, errors.Wrap(err, expect)
 	}
-	misses := expected.Compare(got)
-	for _, m := range misses {
+	mismatches := expected.Compare(got)
+	for _, m := range mismatches {
 		fmt.Fprintln(out, m)
 	}
-	if len(misses) > 0 {
-		fmt.Fprintf(out, "%d outcomes differ from %s\n", len(misses), expect)
+	if len(mismatches) > 0 {
+		fmt.Fprintf(out, "%d outcomes differ from %s\n", len(mismatches), expect)
 		return ExitNotRun, nil
 	}
 	fmt.Fprintf(out, "all outcomes are those of %s\n", expect)
--- a/internal/cli/replay_test.go
+++ b/internal/cli/replay_test.go
@@ -10,15 +10,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReplayExitCodes compares a recorded trace with outcomes that hold, that do
-// not, and that cannot be read.
+// TestReplayExitCodes compares a recorded trace with the outcomes that it has, with
+// others, and with files that cannot be read.
 func TestReplayExitCodes(t *testing.T) {
 	const trace = "../../testdata/replay/styrkeled-summer-time-begins"
-	stated, err := os.ReadFile(trace + ".toml")
+	expected, err := os.ReadFile(trace + ".toml")
 	require.NoError(t, err)
-	wrong := strings.Replace(string(stated), "'withdraw' = ['done']", "'withdraw' = ['not_run conflict']", 1)
+	wrong := strings.Replace(string(expected), "'withdraw' = ['done']", "'withdraw' = ['not_run conflict']", 1)
 	wrong = strings.Replace(wrong, "withdraw = ['done']", "withdraw = ['not_run conflict']", 1)
-	require.NotEqual(t, string(stated), wrong)
+	require.NotEqual(t, string(expected), wrong)
 	write := func(name, text string) string {
 		path := filepath.Join(t.TempDir(), name)
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -27,7 +27,7 @@
 	tests := []struct {
 		name, trace, expect string
 		code                int
-		says                string
+		output              string
 	}{
 		{"equal", trace + ".jsonl", trace + ".toml", ExitDone, "all outcomes are those of"},
 		{"different", trace + ".jsonl", write("wrong.toml", wrong), ExitNotRun, "answers.withdraw: expected not_run conflict, got done\n1 outcomes differ"},
@@ -43,7 +43,7 @@
 			}
 			var out bytes.Buffer
 			require.Equal(t, tt.code, Run(t.Context(), args, &out, &out), out.String())
-			require.Contains(t, out.String(), tt.says)
+			require.Contains(t, out.String(), tt.output)
 		})
 	}
 }
--- a/internal/cli/result.go
+++ b/internal/cli/result.go
@@ -11,7 +11,7 @@
 	"pollenbend/internal/verdict"
 )
 
-// exitOf maps a verdict to the exit code. Work that was accepted counts as done.
+// exitOf returns the exit code for a verdict. Accepted work counts as done.
 func exitOf(v verdict.Verdict, code verdict.Code) int {
 	switch {
 	case v == verdict.Done && code != verdict.CodeOK:
@@ -26,7 +26,7 @@
 	return ExitMayHaveRun
 }
 
-// exitOfError maps the error of a call with effects to the exit code.
+// exitOfError returns the exit code for the error of a call with side effects.
 func exitOfError(err error) int {
 	var e *verdict.Error
 	if errors.As(err, &e) {
@@ -35,7 +35,7 @@
 	return exitOf(verdict.Of(err), verdict.CodeOK)
 }
 
-// exitOfRead maps the error of a read without effects to the exit code.
+// exitOfRead returns the exit code for the error of a call without side effects.
 func exitOfRead(err error) int {
 	if err == nil {
 		return ExitDone
@@ -43,7 +43,7 @@
 	return ExitNotRun
 }
 
-// answerOf returns the answer, or the refusal that err tells of.
+// answerOf returns the answer, or one made from err if there is no answer.
 func answerOf(id string, answer *wire.Answer, err error) *wire.Answer {
 	if answer != nil || err == nil {
 		return answer
@@ -55,7 +55,7 @@
 	return &wire.Answer{ID: id, Verdict: e.Verdict, Code: e.Code, Message: e.Message, RetryAfterMS: e.RetryAfter.Milliseconds()}
 }
 
-// printAnswer prints what came of the request called id.
+// printAnswer prints the answer about the request id.
 func printAnswer(out io.Writer, asJSON bool, id string, a *wire.Answer) {
 	if asJSON {
 		printJSON(out, a)
@@ -80,7 +80,7 @@
 	}
 }
 
-// fail prints the refusal of an operation and returns code.
+// fail prints the error of an operation and returns code.
 func fail(out, errOut io.Writer, asJSON bool, name string, answer *wire.Answer, err error, code int) int {
 	if asJSON {
 		printJSON(out, answerOf("", answer, err))
@@ -90,8 +90,8 @@
 	return code
 }
 
-// usage prints what is wrong with the command line and returns the exit code.
-func usage(errOut io.Writer, name string, err error) int {
+// usageError prints an error of the command line and returns the exit code.
+func usageError(errOut io.Writer, name string, err error) int {
 	fmt.Fprintf(errOut, "%s: %v\n", name, err)
 	return ExitUsage
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -10,18 +10,18 @@
 )
 
 func serveCommand() command {
-	var path, record string
+	var path, traceFile string
 	sub := subcommand("serve", "Run one instance.")
 	sub.String(&path, "s", "settings", "settings file")
-	sub.String(&record, "r", "record", "file for the event trace, in place of record.file")
+	sub.String(&traceFile, "r", "record", "file for the event trace, in place of record.file")
 	return command{sub: sub, run: func(ctx context.Context, _, errOut io.Writer) int {
-		return serve(ctx, path, record, errOut)
+		return runServe(ctx, path, traceFile, errOut)
 	}}
 }
 
-// serve runs an instance until ctx ends, then drains it. A record names the file
-// for the event trace.
-func serve(ctx context.Context, path, record string, errOut io.Writer) int {
+// runServe runs an instance until ctx ends or an operator requests a drain, then
+// drains it. A traceFile replaces the setting record.file.
+func runServe(ctx context.Context, path, traceFile string, errOut io.Writer) int {
 	if path == "" {
 		fmt.Fprintln(errOut, "serve: --settings is required")
 		return ExitUsage
@@ -33,8 +33,8 @@
 	if len(faults) > 0 {
 		return ExitUsage
 	}
-	if record != "" {
-		s.Record.File = record
+	if traceFile != "" {
+		s.Record.File = traceFile
 	}
 	i, err := instance.Start(s, newLogger(errOut, s.Log.SlogLevel()))
 	if err != nil {
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -18,7 +18,7 @@
 	"pollenbend/internal/standin"
 )
 
-// standinOptions are the flags of the standin command.
+// standinOptions holds the flags of the standin command.
 type standinOptions struct {
 	listen    string
 	example   string
@@ -63,9 +63,9 @@
 		if err != nil {
 			return err
 		}
-		s.Listen.HTTP = loopback(o.basePort + 2*i)
-		s.Listen.Peer = loopback(o.basePort + 2*i + 1)
-		listed = append(listed, listing(s))
+		s.Listen.HTTP = loopbackAddr(o.basePort + 2*i)
+		s.Listen.Peer = loopbackAddr(o.basePort + 2*i + 1)
+		listed = append(listed, listedInstance(s))
 		if o.dir == "" {
 			continue
 		}
@@ -82,15 +82,18 @@
 	return nil
 }
 
-func loopback(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
+func loopbackAddr(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
 
-func listing(s settings.Settings) platform.Instance {
+// listedInstance returns the entry of the instance list for the settings.
+func listedInstance(s settings.Settings) platform.Instance {
 	return platform.Instance{
 		ID: model.InstanceID(s.Instance.ID), HTTPAddr: s.Listen.HTTP, PeerAddr: s.Listen.Peer,
 		Location: model.Location{Region: s.Instance.Region, Zone: s.Instance.Zone, Rack: s.Instance.Rack},
 	}
 }
 
+// writeSettings writes an instance's settings file. Only its owner can read it: it
+// contains the instance's private key.
 func writeSettings(dir string, s settings.Settings) error {
 	data, err := s.Marshal()
 	if err != nil {
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -15,9 +15,9 @@
 	"pollenbend/internal/model"
 )
 
-// submitOptions are the flags of the submit command.
+// submitOptions holds the flags of the submit command.
 type submitOptions struct {
-	remote
+	remoteFlags
 	queue   string
 	service string
 	payload string
@@ -34,7 +34,7 @@
 func submitCommand() command {
 	o := submitOptions{count: 1, kind: string(model.KindBatch)}
 	sub := subcommand("submit", "Send a request and wait for its answer, or hand over a job for later with --job.")
-	o.flags(sub)
+	o.register(sub)
 	sub.String(&o.queue, "q", "queue", "queue that takes the work; without one the work is charged to the key's team")
 	sub.String(&o.service, "", "service", "declared service")
 	sub.String(&o.payload, "p", "payload", "JSON, or @FILE to read it from a file")
@@ -54,11 +54,11 @@
 func runSubmit(ctx context.Context, o *submitOptions, out, errOut io.Writer) int {
 	payload, err := o.check()
 	if err != nil {
-		return usage(errOut, "submit", err)
+		return usageError(errOut, "submit", err)
 	}
 	c, err := o.client()
 	if err != nil {
-		return usage(errOut, "submit", err)
+		return usageError(errOut, "submit", err)
 	}
 	as := client.Identity{IdempotencyKey: o.id, Ticket: o.ticket}
 	if o.id == "" && o.ticket == "" {
@@ -75,7 +75,7 @@
 	return exitOf(answer.Verdict, answer.Code)
 }
 
-// check returns the payload, or what is wrong with the options.
+// check validates the options and returns the payload.
 func (o *submitOptions) check() (json.RawMessage, error) {
 	switch {
 	case o.id != "" && o.ticket != "":
@@ -113,7 +113,7 @@
 	}, as)
 }
 
-// duration writes d for the API, empty for none.
+// duration formats d for the API; zero gives an empty string.
 func duration(d time.Duration) string {
 	if d == 0 {
 		return ""
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -15,23 +15,23 @@
 	"pollenbend/internal/timeline/merge"
 )
 
-const followEvery = time.Second
+const followInterval = time.Second
 
 func timelineCommand() command {
-	var r remote
+	var r remoteFlags
 	follow := false
 	sub := subcommand("timeline", "Print the events of all given servers in one order.")
-	r.flags(sub)
+	r.register(sub)
 	sub.Bool(&follow, "f", "follow", "go on until interrupted")
 	return command{sub: sub, run: func(ctx context.Context, out, errOut io.Writer) int {
 		if follow {
-			return followTimeline(ctx, &r, followEvery, out, errOut)
+			return followTimeline(ctx, &r, followInterval, out, errOut)
 		}
 		return runTimeline(ctx, &r, out, errOut)
 	}}
 }
 
-// source is one server whose events are read.
+// source is one server whose timeline is read.
 type source struct {
 	server      string
 	client      *client.Client
@@ -39,11 +39,11 @@
 	last        uint64 // sequence number of the last event read
 }
 
-// runTimeline prints the events that the servers hold now.
-func runTimeline(ctx context.Context, r *remote, out, errOut io.Writer) int {
+// runTimeline prints the events that the servers hold at present.
+func runTimeline(ctx context.Context, r *remoteFlags, out, errOut io.Writer) int {
 	sources, err := r.sources()
 	if err != nil {
-		return usage(errOut, "timeline", err)
+		return usageError(errOut, "timeline", err)
 	}
 	merger := merge.New()
 	failed := readAll(ctx, sources, merger, errOut)
@@ -51,18 +51,18 @@
 	return exitOfRead(failed)
 }
 
-// followTimeline prints events as they come, until ctx ends. An event waits for
-// its cause.
-func followTimeline(ctx context.Context, r *remote, every time.Duration, out, errOut io.Writer) int {
+// followTimeline prints new events until ctx ends. An event is printed after its
+// cause.
+func followTimeline(ctx context.Context, r *remoteFlags, interval time.Duration, out, errOut io.Writer) int {
 	sources, err := r.sources()
 	if err != nil {
-		return usage(errOut, "timeline", err)
+		return usageError(errOut, "timeline", err)
 	}
 	merger := merge.New()
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
-		_ = readAll(ctx, sources, merger, errOut) // reported there; the next round asks again
+		_ = readAll(ctx, sources, merger, errOut) // readAll has reported it; the next round retries
 		printEvents(out, r.json, merger.Ready())
 		select {
 		case <-ctx.Done():
@@ -73,7 +73,7 @@
 	}
 }
 
-func (r *remote) sources() ([]*source, error) {
+func (r *remoteFlags) sources() ([]*source, error) {
 	servers := r.allServers()
 	if len(servers) == 0 {
 		_, err := r.client()
@@ -81,7 +81,7 @@
 	}
 	var sources []*source
 	for _, server := range servers {
-		c, err := r.clientOf(server)
+		c, err := r.newClient(server)
 		if err != nil {
 			return nil, err
 		}
@@ -90,8 +90,8 @@
 	return sources, nil
 }
 
-// readAll adds the new events of every source. It reports those that can't be
-// read and returns the first one's error.
+// readAll adds the new events of every source to the merger. It prints the errors of
+// sources that can't be read and returns the first one.
 func readAll(ctx context.Context, sources []*source, merger *merge.Merger, errOut io.Writer) error {
 	var first error
 	for _, s := range sources {
@@ -105,6 +105,7 @@
 	return first
 }
 
+// read adds the source's new events to the merger.
 func (s *source) read(ctx context.Context, merger *merge.Merger) error {
 	answer, err := s.client.Timeline(ctx, s.last)
 	if err != nil {
@@ -115,7 +116,7 @@
 		return errors.Wrap(err, "read the time line")
 	}
 	if s.incarnation != 0 && d.Incarnation != s.incarnation {
-		s.incarnation, s.last = d.Incarnation, 0 // restarted: its numbers start anew
+		s.incarnation, s.last = d.Incarnation, 0 // the server restarted and numbers its events from 1
 		return s.read(ctx, merger)
 	}
 	s.incarnation = d.Incarnation
