--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -5,37 +5,39 @@
 	"pollenbend/internal/scheduler/fleet"
 )
 
-// Bounds of the candidates of one decision.
+// Limits on the candidates of one decision: for tasks that are packed, for tasks
+// with a spread constraint, and for each preferred selector.
 var (
-	packing   = fleet.Bounds{Candidates: 24, PerClass: 6, Probes: 24, Classes: 12}
-	spreading = fleet.Bounds{Candidates: 64, PerClass: 3, Probes: 12, Classes: 64}
-	preferred = fleet.Bounds{Candidates: 8, PerClass: 4, Probes: 16, Classes: 4}
+	packingBounds    = fleet.Bounds{Candidates: 24, PerClass: 6, Probes: 24, Classes: 12}
+	spreadBounds     = fleet.Bounds{Candidates: 64, PerClass: 3, Probes: 12, Classes: 64}
+	preferenceBounds = fleet.Bounds{Candidates: 8, PerClass: 4, Probes: 16, Classes: 4}
 )
 
 const (
-	maxPreferences = 4  // preferred selectors that get candidates of their own
-	randomProbes   = 32 // workers looked at anywhere for work that spreads
+	maxPreferences = 4  // preferred selectors that are sampled separately
+	randomProbes   = 32 // workers drawn from the whole fleet for a spread constraint
 )
 
-// collect gathers workers that fit a task.
-func (s *Scheduler) collect(t *model.Task) {
+// collectCandidates samples feasible workers for a task.
+func (s *Scheduler) collectCandidates(t *model.Task) {
 	start := s.rng.Uint64()
-	bounds := packing
+	bounds := packingBounds
 	if t.SpreadBy != "" {
-		bounds = spreading
+		bounds = spreadBounds
 	}
 	s.candidates = s.search.Sample(start, bounds, s.candidates[:0])
 	if t.SpreadBy != "" {
-		s.collectAnywhere(t)
+		s.collectRandom(t)
 	}
 	for i := range min(len(t.Prefer), maxPreferences) {
 		s.collectPreferred(t, t.Prefer[i], start)
 	}
 }
 
-// collectAnywhere adds workers without regard to the index, because tight cells
-// tend to lie in few racks.
-func (s *Scheduler) collectAnywhere(t *model.Task) {
+// collectRandom adds random feasible workers of the whole fleet. The index alone
+// would not do for a spread constraint: the workers of the cells that fit most
+// tightly tend to be in few racks.
+func (s *Scheduler) collectRandom(t *model.Task) {
 	nodes := s.Fleet.Nodes()
 	for range min(randomProbes, len(nodes)) {
 		n := nodes[s.rng.IntN(len(nodes))]
@@ -45,11 +47,12 @@
 	}
 }
 
+// collectPreferred adds feasible workers that match a preferred selector.
 func (s *Scheduler) collectPreferred(t *model.Task, p model.Preference, start uint64) {
 	if p.Weight <= 0 {
 		return
 	}
-	s.merged = append(append(s.merged[:0], t.Require...), p.Selector...)
-	s.preferred.Start(s.Fleet, s.Fleet.Select(s.merged), t.Demand)
-	s.candidates = s.preferred.Sample(start, preferred, s.candidates)
+	s.mergedSelector = append(append(s.mergedSelector[:0], t.Require...), p.Selector...)
+	s.preferredSearch.Start(s.Fleet, s.Fleet.Select(s.mergedSelector), t.Demand)
+	s.candidates = s.preferredSearch.Sample(start, preferenceBounds, s.candidates)
 }
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,15 +1,16 @@
-// Package scheduler decides where tasks run. It is pure: time and randomness are
-// passed in, and it does no I/O. One goroutine owns a Scheduler and all that
-// belongs to it.
+// Package scheduler decides on which worker a task runs. It is deterministic:
+// time and the random seed are passed in, and it does no I/O. A Scheduler and
+// everything it holds belong to one goroutine.
 //
-// A decision runs a chain of filters and scorers (package plugin and below) over
-// a bounded sample of workers that package fleet finds by label class and free
-// capacity. Place decides, Fleet.Assume commits after a recheck of the worker's
-// ledger, Fleet.Release ends the commitment.
+// A decision runs filter and score plugins (package plugin and the packages below
+// it) over a bounded sample of workers that package fleet finds by worker class
+// and free capacity. Place decides, Fleet.Assume rechecks the worker's free
+// capacity and commits the task, and Fleet.Release ends the commitment.
 //
-// Package queue says which task is next. When a task can't be placed, package
-// preempt may make room for it and hold that on one worker; the task is then
-// parked and tried again when the worker has the room or the hold expires.
-// Package gang places tasks that start together. Packages quarantine, estimates,
-// hours and services watch outcomes, sizes, wall time and replicas.
+// Package queue chooses the next task. When a task can't be placed, package
+// preempt may select victims on one worker and reserve the capacity there with a
+// hold. The task is then parked and tried again once the worker has the capacity
+// or the hold expires. Package shares computes weighted max-min fair shares,
+// package quarantine keeps work away from broken workers, and package estimates
+// learns the demand and run time of tasks.
 package scheduler
--- a/internal/scheduler/experiment_test.go
+++ b/internal/scheduler/experiment_test.go
@@ -77,7 +77,7 @@
 	planner      *preempt.Planner
 	keeper       *quarantine.Keeper
 	learned      *estimates.Estimator
-	book         *shares.Book // by true team, whatever the queue sees
+	book         *shares.Accounts // by true team, whatever the queue sees
 	w            *workload
 	rng          *rand.Rand
 	now          time.Duration
@@ -110,7 +110,7 @@
 		q:            queue.New(queue.Config{MaxWaiting: 1 << 30}),
 		planner:      preempt.New(benchSeed),
 		learned:      estimates.New(),
-		book:         shares.NewBook(),
+		book:         shares.NewAccounts(),
 		w:            newWorkload(benchSeed),
 		rng:          rand.New(rand.NewPCG(benchSeed, 4)),
 		truths:       make(map[model.TaskID]truth),
@@ -132,7 +132,7 @@
 	x.book.SetCapacity(x.s.Fleet.Capacity())
 	for i := range benchTeams {
 		x.q.SetShare(teamName(i), weightOf(i))
-		x.book.SetShare(teamName(i), weightOf(i))
+		x.book.SetWeight(teamName(i), weightOf(i))
 	}
 	return x
 }
@@ -283,7 +283,7 @@
 // below reports whether a team stays within its target with one more task.
 func (x *experiment) below(t *model.Task) bool {
 	usage := x.book.Account(t.Team).Usage().Add(x.pending[t.Team]).Add(t.Demand)
-	return shares.Dominant(usage, x.book.Capacity()) <= x.targets[t.Team]
+	return shares.DominantShare(usage, x.book.Capacity()) <= x.targets[t.Team]
 }
 
 func (x *experiment) unpark(id model.TaskID) {
--- a/internal/scheduler/explain.go
+++ b/internal/scheduler/explain.go
@@ -8,57 +8,57 @@
 	"pollenbend/internal/scheduler/plugin"
 )
 
-// feasiblePlugin names statuses of Feasible.
-const feasiblePlugin = "feasible"
+// feasiblePluginName is the plugin name in statuses of Feasible.
+const feasiblePluginName = "feasible"
 
-// Feasible reports whether some worker could run the task if it were empty. A
-// refusal has code Impossible and a reason with counts.
+// Feasible reports whether any worker could run the task if it were empty. If
+// not, the status has code Impossible and a reason with counts of workers.
 func (s *Scheduler) Feasible(t *model.Task) plugin.Status {
 	return s.FeasibleGang(t, 1)
 }
 
-// FeasibleGang reports whether the fleet, if it were empty, could run count
-// tasks like t at the same time.
+// FeasibleGang reports whether the fleet, if it were empty, could run count tasks
+// like t at the same time. Its status is like that of Feasible.
 func (s *Scheduler) FeasibleGang(t *model.Task, count int) plugin.Status {
 	f := s.Fleet.Feasible(t.Require, t.Demand, count)
-	if f.Places >= count {
+	if f.MaxTasks >= count {
 		return plugin.Status{}
 	}
 	reason := ""
 	switch {
 	case f.Matching == 0:
 		reason = fmt.Sprintf("none of %d workers matches the selector", f.Workers)
-	case f.Fitting == 0:
+	case f.LargeEnough == 0:
 		reason = fmt.Sprintf("none of the %d workers that match the selector is large enough", f.Matching)
 	default:
-		reason = fmt.Sprintf("%d workers could hold %d tasks at a time, %d are wanted", f.Fitting, f.Places, count)
+		reason = fmt.Sprintf("%d workers could hold %d tasks at a time, %d are wanted", f.LargeEnough, f.MaxTasks, count)
 	}
-	return plugin.Status{Code: plugin.Impossible, Plugin: feasiblePlugin, Reason: reason}
+	return plugin.Status{Code: plugin.Impossible, Plugin: feasiblePluginName, Reason: reason}
 }
 
-// Refusal counts the workers that one filter refuses or avoids for one reason.
+// Refusal is the number of workers that one filter refuses or avoids for one reason.
 type Refusal struct {
 	Plugin  string `json:"plugin"`
 	Reason  string `json:"reason"`
 	Workers int    `json:"workers"`
-	Avoid   bool   `json:"avoid,omitempty"` // taken when no other is left
+	Avoid   bool   `json:"avoid,omitempty"` // used only if every other worker is refused
 }
 
-// Explanation says why a task waits, by filter.
+// Explanation counts, by filter and reason, why a task can't be placed now.
 type Explanation struct {
 	Workers  int       `json:"workers"`
-	Fitting  int       `json:"fitting"` // workers that could take the task now
+	Fitting  int       `json:"fitting"` // feasible workers: those that could take the task now
 	Refusals []Refusal `json:"refusals,omitempty"`
-	Feasible string    `json:"feasible,omitempty"` // why no worker could ever take it
+	Feasible string    `json:"feasible,omitempty"` // why no worker could take it even if empty
 }
 
-// Explain counts, over all workers, which filter refuses the task first. It
-// looks at every worker and is meant for status calls, not for decisions.
+// Explain counts, over all workers, which filter refuses the task first. It runs
+// the filters on every worker and is meant for status requests, not for decisions.
 func (s *Scheduler) Explain(now time.Duration, t *model.Task) Explanation {
-	s.start(now, t)
+	s.prepare(now, t)
 	out := Explanation{Workers: len(s.Fleet.Nodes())}
 	for _, n := range s.Fleet.Nodes() {
-		out.add(s.filter(t, n))
+		out.add(s.runFilters(t, n))
 	}
 	if status := s.Feasible(t); !status.Success() {
 		out.Feasible = status.Reason
@@ -66,6 +66,7 @@
 	return out
 }
 
+// add counts one worker's status.
 func (e *Explanation) add(status plugin.Status) {
 	if status.Code <= plugin.Avoid {
 		e.Fitting++
--- a/internal/scheduler/fleet/doc.go
+++ b/internal/scheduler/fleet/doc.go
@@ -1,8 +1,8 @@
-// Package fleet is the ledger of workers and what is committed on them, with an
-// index by label class and free capacity so that a decision looks at a bounded
-// number of workers.
+// Package fleet keeps the workers and the tasks committed to them, and indexes the
+// workers by class and free capacity so that a decision examines a bounded number
+// of them.
 //
-// A Fleet belongs to one goroutine and does no I/O. Snapshots are a journal:
-// Begin marks a point, Rollback undoes what was assumed since then, so planning
-// costs as much as the plan and never copies the fleet.
+// A Fleet belongs to one goroutine and does no I/O. A plan can be undone with an
+// undo journal: Begin starts it and Rollback releases what was assumed since, so
+// the cost is that of the plan and the fleet is never copied.
 package fleet
--- a/internal/scheduler/fleet/feasible.go
+++ b/internal/scheduler/fleet/feasible.go
@@ -2,24 +2,24 @@
 
 import "pollenbend/internal/model"
 
-// Feasibility says how many workers could take a demand if they were empty.
+// Feasibility counts the workers that could take a demand if they were empty.
 // Workers that are leaving don't count.
 type Feasibility struct {
-	Workers  int // known
-	Matching int // of them, allowed by the selector
-	Fitting  int // of them, large enough
-	Places   int // tasks of this demand that all fitting workers could hold
+	Workers     int // all workers of the fleet
+	Matching    int // workers that match the selector
+	LargeEnough int // matching workers whose capacity fits the demand
+	MaxTasks    int // tasks of this demand that these could run at the same time
 }
 
-// Feasible works out a Feasibility for count tasks. It stops as soon as there
-// are enough places, so only a refusal has exact counts.
+// Feasible computes the Feasibility of a demand. It stops as soon as MaxTasks
+// reaches count, so the counts are exact only when it doesn't.
 func (f *Fleet) Feasible(selector model.Selector, demand model.Resources, count int) Feasibility {
 	out := Feasibility{Workers: len(f.nodes)}
 	s := f.Select(selector)
-	for _, classes := range [...][]*Class{s.plain, s.accel} {
+	for _, classes := range [...][]*WorkerClass{s.plain, s.accel} {
 		for _, c := range classes {
 			f.addFeasible(&out, s, c, demand)
-			if out.Places >= count {
+			if out.MaxTasks >= count {
 				return out
 			}
 		}
@@ -27,9 +27,11 @@
 	return out
 }
 
-func (f *Fleet) addFeasible(out *Feasibility, s *Selection, c *Class, demand model.Resources) {
+// addFeasible counts the workers of one class. With a residual selector it has to
+// check them one by one.
+func (f *Fleet) addFeasible(out *Feasibility, s *Selection, c *WorkerClass, demand model.Resources) {
 	if !s.residual {
-		for capacity, workers := range c.shapes {
+		for capacity, workers := range c.capacities {
 			out.add(demand, capacity, workers)
 		}
 		return
@@ -41,21 +43,22 @@
 	}
 }
 
+// add counts a number of matching workers of the same capacity.
 func (o *Feasibility) add(demand, capacity model.Resources, workers int) {
 	o.Matching += workers
 	if !demand.Fits(capacity) {
 		return
 	}
-	o.Fitting += workers
-	o.Places += workers * timesIn(demand, capacity)
+	o.LargeEnough += workers
+	o.MaxTasks += workers * tasksPerWorker(demand, capacity)
 }
 
-// maxPlaces is what timesIn gives for an empty demand.
-const maxPlaces = 1 << 20
+// maxTasksPerWorker is the result of tasksPerWorker for an empty demand.
+const maxTasksPerWorker = 1 << 20
 
-// timesIn returns how often demand fits into capacity.
-func timesIn(demand, capacity model.Resources) int {
-	times := int64(maxPlaces)
+// tasksPerWorker returns how many tasks of the demand fit into capacity.
+func tasksPerWorker(demand, capacity model.Resources) int {
+	times := int64(maxTasksPerWorker)
 	for _, d := range [...][2]int64{
 		{demand.MilliCPU, capacity.MilliCPU},
 		{demand.MemoryMiB, capacity.MemoryMiB},
--- a/internal/scheduler/fleet/fleet.go
+++ b/internal/scheduler/fleet/fleet.go
@@ -9,76 +9,76 @@
 	"pollenbend/internal/model"
 )
 
-// Errors of the ledger.
+// Errors that methods of Fleet return.
 var (
-	ErrUnknownWorker = errors.New("unknown worker")
-	ErrUnknownTask   = errors.New("unknown task")
-	ErrDuplicateTask = errors.New("task is already committed")
-	ErrNoRoom        = errors.New("worker has no room")
-	ErrUnschedulable = errors.New("worker takes no new work")
+	ErrUnknownWorker        = errors.New("unknown worker")
+	ErrUnknownTask          = errors.New("unknown task")
+	ErrDuplicateTask        = errors.New("task is already committed")
+	ErrInsufficientCapacity = errors.New("worker has insufficient free capacity")
+	ErrUnschedulable        = errors.New("worker is unschedulable")
 )
 
-// Fleet is the ledger of workers and committed tasks.
+// Fleet keeps the workers and the tasks committed to them.
 type Fleet struct {
 	nodes    []*Node
 	byID     map[model.WorkerID]*Node
 	tasks    map[model.TaskID]*Allocation
-	capacity model.Resources // of workers that take work
+	capacity model.Resources // of schedulable workers
 	used     model.Resources // on all workers
-	largest  model.Resources // largest capacity seen in each dimension
+	largest  model.Resources // maximum capacity seen in each dimension
 
-	classes    []*Class
-	byKey      map[string]*Class
-	labels     []string // indexed label names
-	unindexed  []string // labels with too many values to index
+	classes    []*WorkerClass
+	classByKey map[string]*WorkerClass
+	labels     []string // names of the labels that tell classes apart
+	unindexed  []string // labels removed from the index: too many values
 	selections map[uint64]*Selection
 	pool       cellPool
 
-	freed   freedRing
-	spread  map[spreadKey]*Spread
-	racks   map[string]int // workers by rack
-	zones   map[string]int // workers by availability zone
-	journal []journalEntry
-	inTx    bool
-	holds   map[model.TaskID]Hold
+	freed         freedWorkers
+	spread        map[spreadKey]*Spread
+	workersByRack map[string]int // workers by rack
+	workersByZone map[string]int // workers by availability zone
+	journal       []journalEntry
+	planning      bool
+	holds         map[model.TaskID]Hold
 }
 
 // New returns an empty fleet.
 func New() *Fleet {
 	return &Fleet{
-		byID:       make(map[model.WorkerID]*Node),
-		tasks:      make(map[model.TaskID]*Allocation),
-		byKey:      make(map[string]*Class),
-		selections: make(map[uint64]*Selection),
-		spread:     make(map[spreadKey]*Spread),
-		racks:      make(map[string]int),
-		zones:      make(map[string]int),
-		holds:      make(map[model.TaskID]Hold),
+		byID:          make(map[model.WorkerID]*Node),
+		tasks:         make(map[model.TaskID]*Allocation),
+		classByKey:    make(map[string]*WorkerClass),
+		selections:    make(map[uint64]*Selection),
+		spread:        make(map[spreadKey]*Spread),
+		workersByRack: make(map[string]int),
+		workersByZone: make(map[string]int),
+		holds:         make(map[model.TaskID]Hold),
 	}
 }
 
-// Node returns a worker, or nil when it is not known.
+// Node returns a worker, or nil if it is unknown.
 func (f *Fleet) Node(id model.WorkerID) *Node { return f.byID[id] }
 
 // Nodes returns all workers. The slice belongs to the fleet and changes with it.
 func (f *Fleet) Nodes() []*Node { return f.nodes }
 
-// Allocation returns where a task is committed, or nil.
+// Allocation returns a task's allocation, or nil if the task isn't committed.
 func (f *Fleet) Allocation(id model.TaskID) *Allocation { return f.tasks[id] }
 
 // Tasks returns the number of committed tasks.
 func (f *Fleet) Tasks() int { return len(f.tasks) }
 
-// Capacity returns the sum of what schedulable workers have.
+// Capacity returns the total capacity of schedulable workers.
 func (f *Fleet) Capacity() model.Resources { return f.capacity }
 
-// Used returns the sum of what is committed on all workers.
+// Used returns the resources committed on all workers.
 func (f *Fleet) Used() model.Resources { return f.used }
 
-// Largest returns the largest capacity ever seen in each dimension.
+// Largest returns the maximum worker capacity ever seen in each dimension.
 func (f *Fleet) Largest() model.Resources { return f.largest }
 
-// Upsert adds a worker or takes over its new description. Its tasks stay.
+// Upsert adds a worker or replaces its description. Its allocations stay.
 func (f *Fleet) Upsert(w model.Worker) *Node {
 	n := f.byID[w.ID]
 	if n == nil {
@@ -100,7 +100,8 @@
 	return n
 }
 
-// Remove forgets a worker and the tasks committed to it, and returns these.
+// Remove removes a worker with its holds and allocations, and returns the
+// allocations.
 func (f *Fleet) Remove(id model.WorkerID) []*Allocation {
 	n := f.byID[id]
 	if n == nil {
@@ -122,7 +123,7 @@
 	return lost
 }
 
-// SetUnschedulable adds or removes reasons why a worker takes no new work.
+// SetUnschedulable adds or removes reasons that restrict new work on a worker.
 func (f *Fleet) SetUnschedulable(id model.WorkerID, reason Reason, on bool) error {
 	n := f.byID[id]
 	if n == nil {
@@ -137,47 +138,49 @@
 	return nil
 }
 
-// attach puts a worker into its class, the index and the sums.
+// attach adds a worker to its class and the rack and zone counts, and, if it is
+// schedulable, to the index and the total capacity.
 func (f *Fleet) attach(n *Node) {
 	n.class = f.classOf(n)
-	n.class.join(n)
-	f.racks[n.rackKey]++
-	f.zones[n.Zone()]++
+	n.class.addMember(n)
+	f.workersByRack[n.rackKey]++
+	f.workersByZone[n.Zone()]++
 	if !n.Schedulable() {
 		return
 	}
 	f.capacity = f.capacity.Add(n.Worker.Capacity)
-	n.class.insert(n, spotOf(n.Available()))
+	n.class.insert(n, cellAddressOf(n.Available()))
 	f.freed.add(n)
 }
 
+// detach undoes attach.
 func (f *Fleet) detach(n *Node) {
-	n.class.leave(n)
-	addCount(f.racks, n.rackKey, -1)
-	addCount(f.zones, n.Zone(), -1)
+	n.class.removeMember(n)
+	adjustCount(f.workersByRack, n.rackKey, -1)
+	adjustCount(f.workersByZone, n.Zone(), -1)
 	if n.indexed {
 		f.capacity = f.capacity.Sub(n.Worker.Capacity)
 		n.class.delete(n)
 	}
-	f.dropEmpty(n.class)
+	f.removeEmptyClass(n.class)
 }
 
-// reindex moves a worker to the cell of its free capacity.
+// reindex moves a worker to the cell of its available capacity.
 func (f *Fleet) reindex(n *Node) {
 	if !n.indexed {
 		return
 	}
-	at := spotOf(n.Available())
-	if at == n.spot {
+	at := cellAddressOf(n.Available())
+	if at == n.cellAt {
 		return
 	}
 	n.class.delete(n)
 	n.class.insert(n, at)
 }
 
-// Assume commits a task to a worker before the worker has confirmed it. It
-// rechecks the worker's ledger whatever the caller planned. The task's own hold
-// is used up.
+// Assume commits a task to a worker before the worker has confirmed it. It rechecks
+// the worker's state and available capacity, because they may have changed since
+// the decision. On success the task's own hold is consumed.
 func (f *Fleet) Assume(now time.Duration, t *model.Task, id model.WorkerID) error {
 	n := f.byID[id]
 	if n == nil {
@@ -192,17 +195,17 @@
 	own, held := f.Unhold(t.ID)
 	if !t.Demand.Fits(n.Available()) {
 		if held {
-			f.restore(own)
+			f.addHold(own)
 		}
-		return ErrNoRoom
+		return ErrInsufficientCapacity
 	}
 	f.commit(&Allocation{Task: t, Node: n, Since: now})
 	return nil
 }
 
-// Adopt records a task that a worker reports as running. The worker's word is
-// the truth, so nothing is checked: a worker that runs more than it has gets no
-// new work until enough of it ends.
+// Adopt commits a task that a worker reports as running. The worker's report is
+// authoritative, so capacity isn't checked: an overcommitted worker gets no new
+// work until enough of its tasks end.
 func (f *Fleet) Adopt(now time.Duration, t *model.Task, id model.WorkerID) error {
 	n := f.byID[id]
 	if n == nil {
@@ -215,7 +218,7 @@
 	return nil
 }
 
-// Confirm notes that a worker runs an assumed task.
+// Confirm records that a worker runs an assumed task.
 func (f *Fleet) Confirm(now time.Duration, id model.TaskID) error {
 	a := f.tasks[id]
 	if a == nil {
@@ -226,8 +229,8 @@
 	return nil
 }
 
-// MarkStopping notes that a task was told to stop. It stays committed until it
-// is released.
+// MarkStopping records that a stop was sent for a task. The task stays committed
+// until it is released.
 func (f *Fleet) MarkStopping(id model.TaskID) error {
 	a := f.tasks[id]
 	if a == nil {
@@ -241,7 +244,7 @@
 }
 
 // Release ends a task's commitment, whether it was confirmed or not, and returns
-// what was committed, or nil.
+// its allocation, or nil if there was none.
 func (f *Fleet) Release(id model.TaskID) *Allocation {
 	a := f.tasks[id]
 	if a == nil {
@@ -261,9 +264,9 @@
 	f.countSpread(a, 1)
 	f.reindex(n)
 	if a.Task.Demand.Accelerators > 0 {
-		f.freed.add(n) // what was reserved for the accelerators is free again
+		f.freed.add(n) // the accelerators' reserve shrinks, so other tasks may fit now
 	}
-	f.record(a)
+	f.journalAllocation(a)
 }
 
 func (f *Fleet) release(a *Allocation) {
--- a/internal/scheduler/fleet/fleet_test.go
+++ b/internal/scheduler/fleet/fleet_test.go
@@ -57,7 +57,7 @@
 		require.Equal(t, n.Schedulable(), n.indexed)
 		if n.Schedulable() {
 			capacity = capacity.Add(n.Worker.Capacity)
-			require.Equal(t, spotOf(n.Available()), n.spot)
+			require.Equal(t, cellAddressOf(n.Available()), n.cellAt)
 		}
 		if !adopted {
 			require.True(t, sum.Fits(n.Worker.Capacity), "committed %v of %v", sum, n.Worker.Capacity)
@@ -71,8 +71,8 @@
 // fullScan reports whether any worker fits, without the index.
 func fullScan(f *Fleet, s *Search, selector model.Selector) bool {
 	for _, n := range f.nodes {
-		room := n.Room(s.Demand, s.Dedicated())
-		if n.Schedulable() && n.admits() && selector.Matches(n.Worker.Labels) && s.Demand.Fits(room) {
+		room := n.AvailableFor(s.Demand, s.Dedicated())
+		if n.Schedulable() && n.probationAllows() && selector.Matches(n.Worker.Labels) && s.Demand.Fits(room) {
 			return true
 		}
 	}
@@ -167,7 +167,7 @@
 	require.ErrorIs(t, f.Assume(0, task, "x"), ErrUnknownWorker)
 	require.NoError(t, f.Assume(time.Second, task, "w"))
 	require.ErrorIs(t, f.Assume(0, task, "w"), ErrDuplicateTask)
-	require.ErrorIs(t, f.Assume(0, &model.Task{ID: "u", Demand: task.Demand}, "w"), ErrNoRoom)
+	require.ErrorIs(t, f.Assume(0, &model.Task{ID: "u", Demand: task.Demand}, "w"), ErrInsufficientCapacity)
 	require.NoError(t, f.Confirm(time.Second, "t"))
 	require.NotNil(t, f.Release("t"))
 	require.Nil(t, f.Release("t"))
--- a/internal/scheduler/fleet/hold.go
+++ b/internal/scheduler/fleet/hold.go
@@ -7,8 +7,9 @@
 	"pollenbend/internal/model"
 )
 
-// Hold keeps room on a worker for one task until it is assumed there or the hold
-// expires. The room may be still in use when the hold is made.
+// Hold is a reservation of capacity on a worker for one task. It lasts until the
+// task is assumed there or the hold expires. The capacity may still be in use when
+// the hold is made.
 type Hold struct {
 	Task    model.TaskID
 	Node    *Node
@@ -16,18 +17,18 @@
 	Expires time.Duration
 }
 
-// Hold keeps room for a task on a worker. An earlier hold of the task is dropped.
+// Hold reserves a task's demand on a worker and replaces an earlier hold of the task.
 func (f *Fleet) Hold(t *model.Task, id model.WorkerID, expires time.Duration) error {
 	n := f.byID[id]
 	if n == nil {
 		return ErrUnknownWorker
 	}
 	f.Unhold(t.ID)
-	f.restore(Hold{Task: t.ID, Node: n, Demand: t.Demand, Expires: expires})
+	f.addHold(Hold{Task: t.ID, Node: n, Demand: t.Demand, Expires: expires})
 	return nil
 }
 
-// HoldOf returns a task's hold.
+// HoldOf returns a task's hold and whether it has one.
 func (f *Fleet) HoldOf(id model.TaskID) (Hold, bool) {
 	h, ok := f.holds[id]
 	return h, ok
@@ -36,24 +37,24 @@
 // Holds returns the number of holds.
 func (f *Fleet) Holds() int { return len(f.holds) }
 
-// Unhold drops a task's hold, if it has one, and returns it.
+// Unhold cancels a task's hold and returns it, or returns false if it has none.
 func (f *Fleet) Unhold(id model.TaskID) (Hold, bool) {
 	h, ok := f.holds[id]
 	if !ok {
 		return Hold{}, false
 	}
 	delete(f.holds, id)
-	f.addHeld(h.Node, model.Resources{}.Sub(h.Demand))
+	f.adjustHeld(h.Node, model.Resources{}.Sub(h.Demand))
 	return h, true
 }
 
-// restore adds a hold.
-func (f *Fleet) restore(h Hold) {
+// addHold adds a hold of a task that has none.
+func (f *Fleet) addHold(h Hold) {
 	f.holds[h.Task] = h
-	f.addHeld(h.Node, h.Demand)
+	f.adjustHeld(h.Node, h.Demand)
 }
 
-// HoldsOn returns the tasks that hold room on a worker, sorted.
+// HoldsOn returns the tasks with a hold on a worker, sorted.
 func (f *Fleet) HoldsOn(n *Node) []model.TaskID {
 	if n.held.IsZero() {
 		return nil
@@ -61,13 +62,13 @@
 	return f.findHolds(func(h Hold) bool { return h.Node == n })
 }
 
-// ExpireHolds drops the holds whose time is over and returns their tasks, sorted.
+// ExpireHolds cancels the expired holds and returns their tasks, sorted.
 func (f *Fleet) ExpireHolds(now time.Duration) []model.TaskID {
 	return f.dropHolds(func(h Hold) bool { return h.Expires <= now })
 }
 
-// dropHolds drops the holds that match, in the order of their tasks' names so
-// that the index is the same in any run.
+// dropHolds cancels the holds that match and returns their tasks, sorted. It
+// cancels them in that order so that the index is the same in every run.
 func (f *Fleet) dropHolds(match func(Hold) bool) []model.TaskID {
 	found := f.findHolds(match)
 	for _, id := range found {
@@ -76,6 +77,7 @@
 	return found
 }
 
+// findHolds returns the tasks of the holds that match, sorted.
 func (f *Fleet) findHolds(match func(Hold) bool) []model.TaskID {
 	var found []model.TaskID
 	for id, h := range f.holds {
@@ -87,8 +89,8 @@
 	return found
 }
 
-// WithoutHold calls do as if the task had no hold, and gives do the worker it
-// held, or nil.
+// WithoutHold calls do while the task's hold, if any, is lifted, and passes it the
+// worker of the hold, or nil.
 func (f *Fleet) WithoutHold(id model.TaskID, do func(held *Node)) {
 	h, ok := f.Unhold(id)
 	if !ok {
@@ -96,10 +98,11 @@
 		return
 	}
 	do(h.Node)
-	f.restore(h)
+	f.addHold(h)
 }
 
-func (f *Fleet) addHeld(n *Node, delta model.Resources) {
+// adjustHeld adds delta to the capacity reserved on a worker.
+func (f *Fleet) adjustHeld(n *Node, delta model.Resources) {
 	n.held = n.held.Add(delta)
 	f.reindex(n)
 	if n.indexed {
--- a/internal/scheduler/fleet/index.go
+++ b/internal/scheduler/fleet/index.go
@@ -6,19 +6,21 @@
 	"pollenbend/internal/model"
 )
 
-// The index keeps each class of workers in cells by free processors and free
-// memory. Levels grow by a quarter of an octave, so that a cell's workers differ
-// by less than a fifth in each of the two dimensions.
+// The index keeps the workers of each class in grids, one for each combination of
+// accelerator level and free slots. A grid has one row for each level of available
+// processors and one column for each level of available memory. Levels grow by a
+// quarter of an octave, so that the workers of a cell differ by less than a fifth in
+// each of the two dimensions.
 const (
-	levels        = 64
+	levelCount    = 64
 	cpuShift      = 3 // level 1 starts at 8 milli-CPU
 	memoryShift   = 6 // level 1 starts at 64 MiB
-	shelfSlots    = 2 // no free slot, some
-	shelfCount    = 5 * shelfSlots
-	maxAccelLevel = shelfCount/shelfSlots - 1
+	slotLevels    = 2 // no free slot; at least one
+	gridCount     = 5 * slotLevels
+	maxAccelLevel = gridCount/slotLevels - 1
 )
 
-// level maps an amount to 0..levels-1. It is monotone.
+// level maps an amount to a level from 0 to levelCount-1. It is monotonic.
 func level(x int64, shift uint) int {
 	if x <= 0 {
 		return 0
@@ -29,9 +31,10 @@
 	}
 	e := bits.Len64(v) - 1
 	quarter := int(v<<2>>e) & 3
-	return min(1+e*4+quarter, levels-1)
+	return min(1+e*4+quarter, levelCount-1)
 }
 
+// accelLevel maps a number of accelerators to a level from 0 to maxAccelLevel.
 func accelLevel(x int64) int {
 	if x <= 0 {
 		return 0
@@ -39,81 +42,83 @@
 	return min(bits.Len64(uint64(x)), maxAccelLevel)
 }
 
-// spot is a place in a class's index.
-type spot struct {
-	shelf, row, col uint8
+// cellAddress identifies a cell in the grids of a class.
+type cellAddress struct {
+	grid, row, col uint8
 }
 
-func spotOf(free model.Resources) spot {
-	shelf := accelLevel(free.Accelerators) * shelfSlots
+// cellAddressOf returns the cell of workers with the given resources available.
+func cellAddressOf(free model.Resources) cellAddress {
+	gridIndex := accelLevel(free.Accelerators) * slotLevels
 	if free.Slots > 0 {
-		shelf++
+		gridIndex++
 	}
-	return spot{
-		shelf: uint8(shelf),
-		row:   uint8(level(free.MilliCPU, cpuShift)),
-		col:   uint8(level(free.MemoryMiB, memoryShift)),
+	return cellAddress{
+		grid: uint8(gridIndex),
+		row:  uint8(level(free.MilliCPU, cpuShift)),
+		col:  uint8(level(free.MemoryMiB, memoryShift)),
 	}
 }
 
-// cell holds the workers of one spot.
+// cell holds the workers of a class with the same levels of available resources.
 type cell struct {
 	nodes []*Node
 }
 
-// shelf holds the workers of a class with alike free slots and accelerators.
-type shelf struct {
-	rows  uint64         // rows with workers
-	cols  [levels]uint64 // by row: columns with workers
+// grid holds the cells of one accelerator level, with or without free slots.
+type grid struct {
+	rows  uint64             // bit set of the rows with workers
+	cols  [levelCount]uint64 // by row: bit set of the columns with workers
 	cells map[uint16]*cell
 }
 
 func cellKey(row, col uint8) uint16 { return uint16(row)<<8 | uint16(col) }
 
-// Class is a set of workers that no selector in use can tell apart, in one
-// availability zone.
-type Class struct {
-	labels  map[string]string // the indexed labels only
-	zone    string
-	accel   bool
-	shelves [shelfCount]*shelf
-	size    int // workers, whether schedulable or not
-	open    int // workers in the index
-	pool    *cellPool
-	members []*Node
-	shapes  map[model.Resources]int // workers that stay, by capacity
+// WorkerClass is a set of workers of one availability zone with the same values of
+// the indexed labels. They all have accelerators, or none has.
+type WorkerClass struct {
+	labels     map[string]string // the indexed labels only
+	zone       string
+	accel      bool
+	grids      [gridCount]*grid
+	size       int // members, schedulable or not
+	indexed    int // members in the index
+	pool       *cellPool
+	members    []*Node
+	capacities map[model.Resources]int // members that aren't leaving, by capacity
 }
 
-// join counts a worker as a member of the class.
-func (c *Class) join(n *Node) {
-	n.member = len(c.members)
+// addMember adds a worker to the members of the class, not to its index.
+func (c *WorkerClass) addMember(n *Node) {
+	n.classPos = len(c.members)
 	c.members = append(c.members, n)
 	c.size++
 	if n.reasons&ReasonLeaving == 0 {
-		c.shapes[n.Worker.Capacity]++
+		c.capacities[n.Worker.Capacity]++
 	}
 }
 
-// leave ends a worker's membership.
-func (c *Class) leave(n *Node) {
+// removeMember undoes addMember.
+func (c *WorkerClass) removeMember(n *Node) {
 	last := len(c.members) - 1
-	c.members[n.member] = c.members[last]
-	c.members[n.member].member = n.member
+	c.members[n.classPos] = c.members[last]
+	c.members[n.classPos].classPos = n.classPos
 	c.members[last] = nil
 	c.members = c.members[:last]
 	c.size--
 	if n.reasons&ReasonLeaving != 0 {
 		return
 	}
-	c.shapes[n.Worker.Capacity]--
-	if c.shapes[n.Worker.Capacity] == 0 {
-		delete(c.shapes, n.Worker.Capacity)
+	c.capacities[n.Worker.Capacity]--
+	if c.capacities[n.Worker.Capacity] == 0 {
+		delete(c.capacities, n.Worker.Capacity)
 	}
 }
 
-// couldFit reports whether the demand fits an empty worker of the class.
-func (c *Class) couldFit(demand model.Resources) bool {
-	for capacity := range c.shapes {
+// fitsEmptyWorker reports whether the demand would fit a member that is empty and
+// not leaving.
+func (c *WorkerClass) fitsEmptyWorker(demand model.Resources) bool {
+	for capacity := range c.capacities {
 		if demand.Fits(capacity) {
 			return true
 		}
@@ -121,7 +126,7 @@
 	return false
 }
 
-// cellPool keeps emptied cells for reuse.
+// cellPool keeps empty cells for reuse.
 type cellPool struct {
 	free []*cell
 }
@@ -137,51 +142,55 @@
 
 func (p *cellPool) put(c *cell) { p.free = append(p.free, c) }
 
-func (c *Class) insert(n *Node, at spot) {
-	s := c.shelves[at.shelf]
-	if s == nil {
-		s = &shelf{cells: make(map[uint16]*cell)}
-		c.shelves[at.shelf] = s
+// insert adds a worker to a cell of the index.
+func (c *WorkerClass) insert(n *Node, at cellAddress) {
+	g := c.grids[at.grid]
+	if g == nil {
+		g = &grid{cells: make(map[uint16]*cell)}
+		c.grids[at.grid] = g
 	}
 	key := cellKey(at.row, at.col)
-	list := s.cells[key]
+	list := g.cells[key]
 	if list == nil {
 		list = c.pool.get()
-		s.cells[key] = list
-		s.rows |= 1 << at.row
-		s.cols[at.row] |= 1 << at.col
+		g.cells[key] = list
+		g.rows |= 1 << at.row
+		g.cols[at.row] |= 1 << at.col
 	}
-	n.spot = at
-	n.pos = len(list.nodes)
+	n.cellAt = at
+	n.cellPos = len(list.nodes)
 	n.indexed = true
 	list.nodes = append(list.nodes, n)
-	c.open++
+	c.indexed++
 }
 
-func (c *Class) delete(n *Node) {
-	s := c.shelves[n.spot.shelf]
-	key := cellKey(n.spot.row, n.spot.col)
-	list := s.cells[key]
+// delete removes a worker from its cell, and the cell from the index if it was the
+// last one there.
+func (c *WorkerClass) delete(n *Node) {
+	g := c.grids[n.cellAt.grid]
+	key := cellKey(n.cellAt.row, n.cellAt.col)
+	list := g.cells[key]
 	last := len(list.nodes) - 1
 	moved := list.nodes[last]
-	list.nodes[n.pos] = moved
-	moved.pos = n.pos
+	list.nodes[n.cellPos] = moved
+	moved.cellPos = n.cellPos
 	list.nodes[last] = nil
 	list.nodes = list.nodes[:last]
 	n.indexed = false
-	c.open--
+	c.indexed--
 	if last > 0 {
 		return
 	}
-	delete(s.cells, key)
+	delete(g.cells, key)
 	c.pool.put(list)
-	s.cols[n.spot.row] &^= 1 << n.spot.col
-	if s.cols[n.spot.row] == 0 {
-		s.rows &^= 1 << n.spot.row
+	g.cols[n.cellAt.row] &^= 1 << n.cellAt.col
+	if g.cols[n.cellAt.row] == 0 {
+		g.rows &^= 1 << n.cellAt.row
 	}
 }
 
-// rankedCell is a cell and its distance from the tightest fit, in levels.
+// rankedCell is the content of a cell and its distance from the tightest fit, in
+// levels.
 type rankedCell struct {
 	nodes    []*Node
 	distance int
@@ -190,26 +199,28 @@
 // maxTightCells bounds the cells taken from one class in one search.
 const maxTightCells = 4
 
-// tightest appends to into the non-empty cells that fit demand most tightly, the
-// tightest first, at most maxTightCells of them.
-func (c *Class) tightest(demand model.Resources, into []rankedCell) []rankedCell {
+// tightest appends to into the non-empty cells that fit demand most tightly, in
+// increasing order of distance and at most maxTightCells of them.
+func (c *WorkerClass) tightest(demand model.Resources, into []rankedCell) []rankedCell {
 	base := len(into)
-	first := spotOf(demand)
-	for i := int(first.shelf); i < shelfCount; i++ {
-		s := c.shelves[i]
-		if s == nil || i%shelfSlots < int(first.shelf)%shelfSlots {
+	first := cellAddressOf(demand)
+	for i := int(first.grid); i < gridCount; i++ {
+		g := c.grids[i]
+		if g == nil || i%slotLevels < int(first.grid)%slotLevels {
 			continue
 		}
-		into = s.tightest(first, into, base)
+		into = g.tightest(first, into, base)
 	}
 	return into
 }
 
-func (s *shelf) tightest(first spot, into []rankedCell, base int) []rankedCell {
-	rows := s.rows >> first.row << first.row
+// tightest merges the cells of one grid into the ranking that starts at into[base].
+// It takes at most two cells of each row.
+func (g *grid) tightest(first cellAddress, into []rankedCell, base int) []rankedCell {
+	rows := g.rows >> first.row << first.row
 	for ; rows != 0; rows &= rows - 1 {
 		row := uint8(bits.TrailingZeros64(rows))
-		cols := s.cols[row] >> first.col << first.col
+		cols := g.cols[row] >> first.col << first.col
 		for taken := 0; cols != 0 && taken < 2; taken++ {
 			col := uint8(bits.TrailingZeros64(cols))
 			cols &= cols - 1
@@ -217,13 +228,15 @@
 			if full := len(into)-base >= maxTightCells; full && into[len(into)-1].distance <= distance {
 				break
 			}
-			found := rankedCell{nodes: s.cells[cellKey(row, col)].nodes, distance: distance}
+			found := rankedCell{nodes: g.cells[cellKey(row, col)].nodes, distance: distance}
 			into = insertRanked(into, base, found)
 		}
 	}
 	return into
 }
 
+// insertRanked inserts a cell into the ranking that starts at into[base], in place of
+// the last one if the ranking is full.
 func insertRanked(into []rankedCell, base int, found rankedCell) []rankedCell {
 	if len(into)-base < maxTightCells {
 		into = append(into, found)
@@ -238,28 +251,30 @@
 
 // each calls visit for every indexed worker that may fit demand until visit
 // returns false. It reports whether it reached the end.
-func (c *Class) each(demand model.Resources, visit func(*Node) bool) bool {
-	first := spotOf(demand)
-	for i := int(first.shelf); i < shelfCount; i++ {
-		s := c.shelves[i]
-		if s == nil || i%shelfSlots < int(first.shelf)%shelfSlots {
+func (c *WorkerClass) each(demand model.Resources, visit func(*Node) bool) bool {
+	first := cellAddressOf(demand)
+	for i := int(first.grid); i < gridCount; i++ {
+		g := c.grids[i]
+		if g == nil || i%slotLevels < int(first.grid)%slotLevels {
 			continue
 		}
-		if !s.each(first, visit) {
+		if !g.each(first, visit) {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *shelf) each(first spot, visit func(*Node) bool) bool {
-	rows := s.rows >> first.row << first.row
+// each calls visit for every worker in the cells from first on, like
+// WorkerClass.each.
+func (g *grid) each(first cellAddress, visit func(*Node) bool) bool {
+	rows := g.rows >> first.row << first.row
 	for ; rows != 0; rows &= rows - 1 {
 		row := uint8(bits.TrailingZeros64(rows))
-		cols := s.cols[row] >> first.col << first.col
+		cols := g.cols[row] >> first.col << first.col
 		for ; cols != 0; cols &= cols - 1 {
 			col := uint8(bits.TrailingZeros64(cols))
-			for _, n := range s.cells[cellKey(row, col)].nodes {
+			for _, n := range g.cells[cellKey(row, col)].nodes {
 				if !visit(n) {
 					return false
 				}
--- a/internal/scheduler/fleet/journal.go
+++ b/internal/scheduler/fleet/journal.go
@@ -5,16 +5,16 @@
 	allocation *Allocation
 }
 
-// Begin starts a plan: everything assumed from here on is undone by Rollback and
-// kept by Keep. Plans don't nest.
+// Begin starts a plan: Rollback undoes, and Keep retains, every Assume and Adopt
+// that follows. Plans don't nest.
 func (f *Fleet) Begin() {
-	f.inTx = true
+	f.planning = true
 	f.journal = f.journal[:0]
 }
 
-// Rollback undoes what was assumed since Begin.
+// Rollback ends the plan and releases what was committed since Begin.
 func (f *Fleet) Rollback() {
-	f.inTx = false
+	f.planning = false
 	for i := len(f.journal) - 1; i >= 0; i-- {
 		a := f.journal[i].allocation
 		if f.tasks[a.Task.ID] == a {
@@ -25,15 +25,16 @@
 	f.journal = f.journal[:0]
 }
 
-// Keep ends the plan and leaves what was assumed in the ledger.
+// Keep ends the plan and retains what was committed since Begin.
 func (f *Fleet) Keep() {
-	f.inTx = false
+	f.planning = false
 	clear(f.journal)
 	f.journal = f.journal[:0]
 }
 
-func (f *Fleet) record(a *Allocation) {
-	if f.inTx {
+// journalAllocation records an allocation for Rollback while a plan is open.
+func (f *Fleet) journalAllocation(a *Allocation) {
+	if f.planning {
 		f.journal = append(f.journal, journalEntry{a})
 	}
 }
--- a/internal/scheduler/fleet/search.go
+++ b/internal/scheduler/fleet/search.go
@@ -2,92 +2,104 @@
 
 import "pollenbend/internal/model"
 
-// ringSize is the number of workers remembered as changed. A search that was
-// refused earlier looks only at these as long as they reach back that far.
-const ringSize = 512
+// freedRingSize is the number of entries of freedWorkers. A search whose demand was
+// refused before checks only these workers, as long as none that was added since
+// the refusal has been overwritten.
+const freedRingSize = 512
 
-// freedRing remembers the last workers whose free capacity grew.
-type freedRing struct {
-	nodes [ringSize]*Node
-	next  uint64
+// freedWorkers is a ring buffer of the last workers that may have more capacity
+// available than before.
+type freedWorkers struct {
+	nodes [freedRingSize]*Node
+	next  uint64 // sequence number of the next entry
 }
 
-func (r *freedRing) add(n *Node) {
-	r.nodes[r.next%ringSize] = n
+// add appends a worker.
+
+func (r *freedWorkers) add(n *Node) {
+	r.nodes[r.next%freedRingSize] = n
 	r.next++
 }
 
-// Search is a search for one task's demand in one selection.
+// Search finds feasible workers for one task: workers of a selection with enough
+// available capacity for a demand.
 type Search struct {
 	Selection *Selection
 	Demand    model.Resources
 	dedicated bool
 	fleet     *Fleet
-	ranked    []rankedCell
-	accept    func(*Node) bool
-	fitting   int
+	cells     []rankedCell
+	accept    func(*Node) bool // set while Exhaustive runs
+	fitCount  int              // feasible workers that Exhaustive has seen
 }
 
-// Start prepares a search. It reuses the memory of the search before.
+// Start prepares a search and reuses the memory of the previous one.
 func (s *Search) Start(f *Fleet, selection *Selection, demand model.Resources) {
 	s.fleet = f
 	s.Selection = selection
 	s.Demand = demand
-	s.dedicated = !selection.plainCouldFit(demand)
+	s.dedicated = !selection.fitsWithoutAccelerators(demand)
 }
 
 // Dedicated reports whether only workers with accelerators could ever take the
-// demand, so that nothing is kept from it there.
+// demand. It may then use the capacity reserved for free accelerators.
 func (s *Search) Dedicated() bool { return s.dedicated }
 
-func (s *Selection) plainCouldFit(demand model.Resources) bool {
+// fitsWithoutAccelerators reports whether a class without accelerators has a
+// worker that the demand would fit if it were empty.
+func (s *Selection) fitsWithoutAccelerators(demand model.Resources) bool {
 	for _, c := range s.plain {
-		if c.couldFit(demand) {
+		if c.fitsEmptyWorker(demand) {
 			return true
 		}
 	}
 	return false
 }
 
-// Fits reports whether a worker may take the demand now.
+// Fits reports whether a worker is feasible for the demand now.
 func (s *Search) Fits(n *Node) bool {
-	return n.indexed && n.admits() && s.Demand.Fits(n.Room(s.Demand, s.dedicated)) && s.Selection.Matches(n)
+	return n.indexed && n.probationAllows() && s.Demand.Fits(n.AvailableFor(s.Demand, s.dedicated)) && s.Selection.Matches(n)
 }
 
-// Bounds limits one sample of candidates.
+// Bounds limits the work of one call of Sample.
 type Bounds struct {
-	Candidates int // workers that fit, in all
-	PerClass   int // workers that fit, in one class
-	Probes     int // workers looked at, in one class
-	Classes    int // classes with a worker that fits
+	Candidates int // feasible workers in total
+	PerClass   int // feasible workers of one class
+	Probes     int // workers examined in one class
+	Classes    int // classes that yield a feasible worker
 }
 
-// Sample appends workers that fit to into, from classes in rotating order from
-// start and the tightest cells of each.
+// Sample appends feasible workers to into and returns it. It takes the classes in
+// rotation, beginning at index start modulo their number, and from each class the
+// cells that the demand fits most tightly. Classes with accelerators are a fallback
+// for a demand that doesn't need them.
 func (s *Search) Sample(start uint64, b Bounds, into []*Node) []*Node {
 	into = s.sample(s.preferredClasses(), start, b, into)
 	if len(into) > 0 {
 		return into
 	}
-	return s.sample(s.otherClasses(), start, b, into)
+	return s.sample(s.fallbackClasses(), start, b, into)
 }
 
-// preferredClasses keeps work that needs no accelerator away from them.
-func (s *Search) preferredClasses() []*Class {
+// preferredClasses returns the classes to search first: for a demand that doesn't
+// need accelerators, those without them.
+func (s *Search) preferredClasses() []*WorkerClass {
 	if s.Demand.Accelerators > 0 || s.dedicated {
 		return s.Selection.accel
 	}
 	return s.Selection.plain
 }
 
-func (s *Search) otherClasses() []*Class {
+// fallbackClasses returns the classes to search if none of the preferred ones has a
+// feasible worker.
+func (s *Search) fallbackClasses() []*WorkerClass {
 	if s.Demand.Accelerators > 0 || s.dedicated {
 		return nil
 	}
 	return s.Selection.accel
 }
 
-func (s *Search) sample(classes []*Class, start uint64, b Bounds, into []*Node) []*Node {
+func (s *Search) sample(classes []*WorkerClass, start uint64, b Bounds, into []*Node) []*Node {
 	if len(classes) == 0 {
 		return into
 	}
@@ -107,11 +119,11 @@
 	return into
 }
 
-func (s *Search) sampleClass(c *Class, start uint64, b Bounds, into []*Node) []*Node {
-	s.ranked = c.tightest(s.Demand, s.ranked[:0])
+func (s *Search) sampleClass(c *WorkerClass, start uint64, b Bounds, into []*Node) []*Node {
+	s.cells = c.tightest(s.Demand, s.cells[:0])
 	limit := min(len(into)+b.PerClass, b.Candidates)
 	probes := 0
-	for _, ranked := range s.ranked {
+	for _, ranked := range s.cells {
 		size := len(ranked.nodes)
 		first := int(start % uint64(size))
 		for i := 0; i < size && probes < b.Probes; i++ {
@@ -129,11 +141,12 @@
 	return into
 }
 
-// Probe returns a worker of the selection at random, whether it has room or not,
-// or nil when the selection is empty. draw returns a number below its argument.
+// Probe returns a random worker of the selection, whether it is feasible or not, or
+// nil if the selection is empty. draw returns a random number from 0 to less than
+// its argument.
 func (s *Search) Probe(draw func(int) int) *Node {
 	total := 0
-	for _, classes := range [...][]*Class{s.Selection.plain, s.Selection.accel} {
+	for _, classes := range [...][]*WorkerClass{s.Selection.plain, s.Selection.accel} {
 		for _, c := range classes {
 			total += len(c.members)
 		}
@@ -142,7 +155,7 @@
 		return nil
 	}
 	at := draw(total)
-	for _, classes := range [...][]*Class{s.Selection.plain, s.Selection.accel} {
+	for _, classes := range [...][]*WorkerClass{s.Selection.plain, s.Selection.accel} {
 		for _, c := range classes {
 			if at < len(c.members) {
 				return c.members[at]
@@ -153,70 +166,72 @@
 	return nil
 }
 
-// Exhaustive returns some worker that fits and that accept takes, or nil when
-// there is none. That none fits is remembered: as long as it holds, only workers
-// that changed since are looked at.
+// Exhaustive returns the first feasible worker that accept takes, or nil if there is
+// none. If no worker is feasible at all, the selection remembers the refusal, and
+// later searches for the same demand check only workers freed since.
 func (s *Search) Exhaustive(accept func(*Node) bool) *Node {
 	s.accept = accept
-	s.fitting = 0
-	n := s.exhaustive()
-	if n == nil && s.fitting == 0 {
-		s.refuse()
+	s.fitCount = 0
+	n := s.scanAll()
+	if n == nil && s.fitCount == 0 {
+		s.rememberRefusal()
 	}
 	s.accept = nil
 	return n
 }
 
-func (s *Search) exhaustive() *Node {
-	since, ok := s.Selection.shapes[s.Demand]
-	if ok && s.fleet.freed.next-since <= ringSize {
-		return s.changedSince(since)
+// scanAll scans the workers freed since an earlier refusal of the same demand, or
+// else all classes.
+func (s *Search) scanAll() *Node {
+	since, ok := s.Selection.refusals[s.Demand]
+	if ok && s.fleet.freed.next-since <= freedRingSize {
+		return s.scanFreedSince(since)
 	}
-	if n := s.scan(s.preferredClasses()); n != nil {
+	if n := s.scanClasses(s.preferredClasses()); n != nil {
 		return n
 	}
-	return s.scan(s.otherClasses())
+	return s.scanClasses(s.fallbackClasses())
 }
 
-// take reports whether a worker fits and is accepted.
-func (s *Search) take(n *Node) bool {
+// fitsAndAccepted reports whether a worker is feasible and accept takes it.
+func (s *Search) fitsAndAccepted(n *Node) bool {
 	if !s.Fits(n) {
 		return false
 	}
-	s.fitting++
+	s.fitCount++
 	return s.accept(n)
 }
 
-// Refused reports whether the same demand was refused and no worker's free
-// capacity grew since.
+// Refused reports whether the same demand was refused before and no worker was
+// freed since.
 func (s *Search) Refused() bool {
-	since, ok := s.Selection.shapes[s.Demand]
+	since, ok := s.Selection.refusals[s.Demand]
 	return ok && since == s.fleet.freed.next
 }
 
-func (s *Search) changedSince(since uint64) *Node {
+func (s *Search) scanFreedSince(since uint64) *Node {
 	ring := &s.fleet.freed
 	for seq := since; seq < ring.next; seq++ {
-		n := ring.nodes[seq%ringSize]
-		if s.Selection.allows(n) && s.take(n) {
+		n := ring.nodes[seq%freedRingSize]
+		if s.Selection.matchesLabels(n) && s.fitsAndAccepted(n) {
 			return n
 		}
 	}
 	return nil
 }
 
-func (s *Search) refuse() {
-	if len(s.Selection.shapes) >= maxShapes {
-		clear(s.Selection.shapes)
+func (s *Search) rememberRefusal() {
+	if len(s.Selection.refusals) >= maxRefusals {
+		clear(s.Selection.refusals)
 	}
-	s.Selection.shapes[s.Demand] = s.fleet.freed.next
+	s.Selection.refusals[s.Demand] = s.fleet.freed.next
 }
 
-func (s *Search) scan(classes []*Class) *Node {
+func (s *Search) scanClasses(classes []*WorkerClass) *Node {
 	var found *Node
 	for _, c := range classes {
 		done := c.each(s.Demand, func(n *Node) bool {
-			if s.take(n) {
+			if s.fitsAndAccepted(n) {
 				found = n
 			}
 			return found == nil
@@ -228,7 +243,7 @@
 	return nil
 }
 
-// allows reports whether the whole selector matches a worker, whatever its class.
-func (s *Selection) allows(n *Node) bool {
+// matchesLabels reports whether the whole selector matches a worker of any class.
+func (s *Selection) matchesLabels(n *Node) bool {
 	return s.selector.Matches(n.Worker.Labels)
 }
--- a/internal/scheduler/fleet/selection.go
+++ b/internal/scheduler/fleet/selection.go
@@ -9,38 +9,39 @@
 	"pollenbend/internal/model"
 )
 
-// Bounds of the label index. A selector on a label beyond them still works: it
-// is checked worker by worker.
+// Limits of the label index. A selector on a label that isn't indexed still works:
+// it is checked worker by worker.
 const (
 	maxIndexedLabels  = 12
 	maxIndexedValues  = 64   // distinct values of one label
-	maxClasses        = 1024 // after a label is added
+	maxClasses        = 1024 // more of them take a label out of the index
 	maxSelections     = 1024
-	maxShapes         = 256 // remembered refusals of one selection
+	maxRefusals       = 256 // remembered refusals of one selection
 	separator         = "\x00"
 	absent            = "\x01"
 	estimatedKeyBytes = 128
 )
 
-// Selection is a selector in use and the classes that it allows.
+// Selection is a selector and the classes that match its indexed labels.
 type Selection struct {
 	selector model.Selector
-	plain    []*Class // without accelerators
-	accel    []*Class
-	residual bool // some requirement must be checked worker by worker
-	shapes   map[model.Resources]uint64
+	plain    []*WorkerClass // without accelerators
+	accel    []*WorkerClass
+	residual bool // some label isn't indexed and must be checked worker by worker
+	refusals map[model.Resources]uint64 // demands without a feasible worker, and the next sequence number of Fleet.freed then
 }
 
-// Matches reports whether a worker of the selection's classes meets the whole
+// Matches reports whether a worker of the selection's classes matches the whole
 // selector.
 func (s *Selection) Matches(n *Node) bool {
 	return !s.residual || s.selector.Matches(n.Worker.Labels)
 }
 
-// Empty reports whether no worker belongs to an allowed class.
+// Empty reports whether the selection has no class.
 func (s *Selection) Empty() bool { return len(s.plain) == 0 && len(s.accel) == 0 }
 
-// Select returns the selection of a selector.
+// Select returns the selection of a selector and indexes the selector's labels if
+// the limits allow.
 func (f *Fleet) Select(selector model.Selector) *Selection {
 	key := hashSelector(selector)
 	s := f.selections[key]
@@ -53,26 +54,27 @@
 	if len(f.selections) >= maxSelections {
 		clear(f.selections)
 	}
-	s = &Selection{selector: cloneSelector(selector), shapes: make(map[model.Resources]uint64)}
+	s = &Selection{selector: cloneSelector(selector), refusals: make(map[model.Resources]uint64)}
 	f.selections[key] = s
-	f.resolve(s)
+	f.resolveClasses(s)
 	return s
 }
 
-// resolve works out a selection's classes.
-func (f *Fleet) resolve(s *Selection) {
+// resolveClasses recomputes a selection's classes and forgets its refusals.
+func (f *Fleet) resolveClasses(s *Selection) {
 	s.plain = s.plain[:0]
 	s.accel = s.accel[:0]
-	clear(s.shapes)
+	clear(s.refusals)
 	s.residual = slices.ContainsFunc(s.selector, func(q model.Requirement) bool {
 		return !slices.Contains(f.labels, q.Label)
 	})
 	for _, c := range f.classes {
-		s.add(c, f.labels)
+		s.addClass(c, f.labels)
 	}
 }
 
-func (s *Selection) add(c *Class, indexed []string) {
+// addClass adds a class if it matches the selector's indexed labels.
+func (s *Selection) addClass(c *WorkerClass, indexed []string) {
 	for _, q := range s.selector {
 		if slices.Contains(indexed, q.Label) && !q.Matches(c.labels) {
 			return
@@ -85,7 +87,8 @@
 	}
 }
 
-// indexLabel makes a label tell classes apart, unless that would make too many.
+// indexLabel adds a label to the index unless it has too many values or would make
+// too many classes.
 func (f *Fleet) indexLabel(label string) {
 	if len(f.labels) >= maxIndexedLabels ||
 		slices.Contains(f.labels, label) || slices.Contains(f.unindexed, label) {
@@ -109,20 +112,20 @@
 	f.reclassify()
 }
 
-// boundClasses takes the label with the most values out of the index when there
-// are too many classes.
+// boundClasses removes the label with the largest number of values from the index
+// when there are too many classes.
 func (f *Fleet) boundClasses() {
 	if len(f.classes) <= maxClasses || len(f.labels) == 0 {
 		return
 	}
-	widest, most := "", 0
+	widest, maxValues := "", 0
 	for _, label := range f.labels {
 		values := make(map[string]struct{})
 		for _, c := range f.classes {
 			values[c.labels[label]] = struct{}{}
 		}
-		if len(values) > most {
-			widest, most = label, len(values)
+		if len(values) > maxValues {
+			widest, maxValues = label, len(values)
 		}
 	}
 	f.labels = slices.DeleteFunc(f.labels, func(l string) bool { return l == widest })
@@ -130,58 +133,58 @@
 	f.reclassify()
 }
 
-// reclassify builds all classes anew after the indexed labels changed.
+// reclassify rebuilds all classes after the indexed labels changed.
 func (f *Fleet) reclassify() {
 	f.classes = nil
-	clear(f.byKey)
+	clear(f.classByKey)
 	for _, n := range f.nodes {
 		n.class = f.classOf(n)
-		n.class.join(n)
+		n.class.addMember(n)
 		if n.indexed {
-			n.class.insert(n, spotOf(n.Available()))
+			n.class.insert(n, cellAddressOf(n.Available()))
 		}
 	}
 	for _, s := range f.selections {
-		f.resolve(s)
+		f.resolveClasses(s)
 	}
 }
 
-// classOf returns the class of a worker, made if need be.
-func (f *Fleet) classOf(n *Node) *Class {
+// classOf returns the class of a worker and creates it if it doesn't exist.
+func (f *Fleet) classOf(n *Node) *WorkerClass {
 	key := f.classKey(n)
-	if c := f.byKey[key]; c != nil {
+	if c := f.classByKey[key]; c != nil {
 		return c
 	}
-	c := &Class{
-		shapes: make(map[model.Resources]int),
-		labels: make(map[string]string, len(f.labels)),
-		zone:   n.Zone(),
-		accel:  n.Worker.Capacity.Accelerators > 0,
-		pool:   &f.pool,
+	c := &WorkerClass{
+		capacities: make(map[model.Resources]int),
+		labels:     make(map[string]string, len(f.labels)),
+		zone:       n.Zone(),
+		accel:      n.Worker.Capacity.Accelerators > 0,
+		pool:       &f.pool,
 	}
 	for _, label := range f.labels {
 		if v, ok := n.Worker.Labels[label]; ok {
 			c.labels[label] = v
 		}
 	}
-	f.byKey[key] = c
+	f.classByKey[key] = c
 	f.classes = append(f.classes, c)
 	for _, s := range f.selections {
-		s.add(c, f.labels)
+		s.addClass(c, f.labels)
 	}
 	return c
 }
 
-// dropEmpty forgets a class without workers.
-func (f *Fleet) dropEmpty(c *Class) {
+// removeEmptyClass removes a class if it has no members.
+func (f *Fleet) removeEmptyClass(c *WorkerClass) {
 	if c.size > 0 {
 		return
 	}
-	isClass := func(other *Class) bool { return other == c }
+	isClass := func(other *WorkerClass) bool { return other == c }
 	f.classes = slices.DeleteFunc(f.classes, isClass)
-	for key, other := range f.byKey {
+	for key, other := range f.classByKey {
 		if other == c {
-			delete(f.byKey, key)
+			delete(f.classByKey, key)
 		}
 	}
 	for _, s := range f.selections {
@@ -190,6 +193,7 @@
 	}
 }
 
+// classKey returns the key of a worker's class in classByKey.
 func (f *Fleet) classKey(n *Node) string {
 	var b strings.Builder
 	b.Grow(estimatedKeyBytes)
--- a/internal/scheduler/fleet/spread.go
+++ b/internal/scheduler/fleet/spread.go
@@ -2,15 +2,15 @@
 
 import "pollenbend/internal/model"
 
-// Spread counts the tasks of one job by topology domain.
+// Spread counts the committed tasks of one job by topology domain.
 type Spread struct {
 	Zones map[string]int
 	Racks map[string]int
 	Total int
 }
 
-// spreadKey names what is spread: a job, or a service of a team when its tasks
-// belong to no job.
+// spreadKey identifies the tasks that are spread together: those of a job, or,
+// without a job, those of a team's service.
 type spreadKey struct {
 	job     model.JobID
 	team    model.TeamID
@@ -28,14 +28,17 @@
 // committed.
 func (f *Fleet) SpreadOf(t *model.Task) *Spread { return f.spread[spreadKeyOf(t)] }
 
-// Domains returns the number of domains of a kind in the fleet: "rack" or "zone".
+// Domains returns the number of racks in the fleet if by is "rack", else the number
+// of availability zones.
 func (f *Fleet) Domains(by string) int {
 	if by == "rack" {
-		return len(f.racks)
+		return len(f.workersByRack)
 	}
-	return len(f.zones)
+	return len(f.workersByZone)
 }
 
+// countSpread adds delta to the counts of an allocation's job, if its task has a
+// spread constraint.
 func (f *Fleet) countSpread(a *Allocation, delta int) {
 	if a.Task.SpreadBy == "" {
 		return
@@ -47,14 +50,15 @@
 		f.spread[key] = s
 	}
 	s.Total += delta
-	addCount(s.Zones, a.Node.Zone(), delta)
-	addCount(s.Racks, a.Node.rackKey, delta)
+	adjustCount(s.Zones, a.Node.Zone(), delta)
+	adjustCount(s.Racks, a.Node.rackKey, delta)
 	if s.Total == 0 {
 		delete(f.spread, key)
 	}
 }
 
-func addCount(counts map[string]int, key string, delta int) {
+// adjustCount adds delta to the count of key and deletes counts of zero.
+func adjustCount(counts map[string]int, key string, delta int) {
 	counts[key] += delta
 	if counts[key] == 0 {
 		delete(counts, key)
--- a/internal/scheduler/plugin/accelerators/accelerators.go
+++ b/internal/scheduler/plugin/accelerators/accelerators.go
@@ -23,7 +23,7 @@
 	if n.Worker.Capacity.Accelerators == 0 || t.Demand.Accelerators > 0 {
 		return plugin.Status{}
 	}
-	if t.Demand.Fits(n.Room(t.Demand, s.Search.Dedicated())) {
+	if t.Demand.Fits(n.AvailableFor(t.Demand, s.Search.Dedicated())) {
 		return plugin.Status{}
 	}
 	return plugin.Status{Code: plugin.Unfit, Plugin: Name, Reason: "kept for work that needs accelerators"}
--- a/internal/scheduler/plugin/plugin.go
+++ b/internal/scheduler/plugin/plugin.go
@@ -64,8 +64,8 @@
 	Score(s *State, t *model.Task, n *fleet.Node) int64
 }
 
-// Weighted is a scorer and the factor of its score in the sum.
-type Weighted struct {
+// WeightedScorer is a scorer and the factor of its score in the sum.
+type WeightedScorer struct {
 	Scorer
 	Weight int64
 }
--- a/internal/scheduler/preempt/preempt.go
+++ b/internal/scheduler/preempt/preempt.go
@@ -1,6 +1,6 @@
-// Package preempt chooses what to stop when urgent work, or work of a team below
-// its share, finds no room: the tasks on one worker whose stop loses the least
-// work. The same work isn't chosen again and again.
+// Package preempt chooses preemption victims when an urgent task, or a task of a
+// team below its fair share, can't be placed: the tasks on one worker whose stop
+// loses the least work. It limits how often the same task is preempted.
 package preempt
 
 import (
@@ -19,95 +19,99 @@
 const Name = "preempt"
 
 const (
-	// probes is the number of workers sampled for one plan, plans the number of
-	// those on which victims are chosen and compared.
-	probes = 64
-	plans  = 10
-	// maxPreemptions is how often one task of a job is stopped within budgetPeriod.
-	maxPreemptions = 3
-	budgetPeriod   = time.Hour
-	// checkpointLoss is the work lost by a checkpoint and the restart from it.
-	checkpointLoss = 2 * time.Second
-	// unsavedPart is the inverse of how often a checkpoint fails.
-	unsavedPart = 10
-	// normalFactor makes work of class normal costlier to stop than of class low.
-	normalFactor = 4
+	// maxProbes is the number of workers sampled for one task, maxPlans the number
+	// of them for which victims are chosen and compared.
+	maxProbes = 64
+	maxPlans  = 10
+	// maxPreemptions is how often one logical task may be preempted. The count restarts
+	// when it hasn't been preempted for preemptionWindow.
+	maxPreemptions   = 3
+	preemptionWindow = time.Hour
+	// checkpointCost is the run time lost by a checkpoint and the restart from it.
+	checkpointCost = 2 * time.Second
+	// checkpointsPerFailure is the expected number of checkpoints for one that fails
+	// and so loses all work since the start.
+	checkpointsPerFailure = 10
+	// normalClassMultiplier is the cost of preempting work of class normal relative to
+	// class low.
+	normalClassMultiplier = 4
 )
 
 // Victim is a task to stop.
 type Victim struct {
 	Task model.TaskID
-	Mode platform.StopMode // to be followed by a kill when it isn't over in time
+	Mode platform.StopMode // the caller follows it with a kill if the task doesn't stop in time
 }
 
-// Plan is what to stop to make room on one worker. Cost is the work lost, in
-// seconds times the dominant part of the worker.
+// Plan lists the victims that free enough capacity on one worker. Cost is the
+// expected work lost, in seconds of run time times the dominant share of the worker.
 type Plan struct {
 	Worker  model.WorkerID
 	Victims []Victim
 	Cost    float64
 }
 
-// lineage names one task of a job over its restarts.
-type lineage struct {
+// logicalTask identifies one task of a job across its restarts.
+type logicalTask struct {
 	team  model.TeamID
 	job   model.JobID
 	index int
-	task  model.TaskID // when it belongs to no job
+	task  model.TaskID // only if it belongs to no job
 }
 
-func lineageOf(t *model.Task) lineage {
+func logicalTaskOf(t *model.Task) logicalTask {
 	if t.Job == "" {
-		return lineage{team: t.Team, task: t.ID}
+		return logicalTask{team: t.Team, task: t.ID}
 	}
-	return lineage{team: t.Team, job: t.Job, index: t.Index}
+	return logicalTask{team: t.Team, job: t.Job, index: t.Index}
 }
 
-// record is how often a lineage was stopped.
-type record struct {
+// preemptionRecord counts the recent preemptions of a logical task.
+type preemptionRecord struct {
 	count int
-	last  time.Duration
+	last  time.Duration // time of the last one
 }
 
-// Planner makes plans. It belongs to one goroutine.
+// Planner makes preemption plans. It belongs to one goroutine.
 type Planner struct {
-	rng     *rand.Rand
-	search  fleet.Search
-	history map[lineage]record
-	swept   time.Duration
-	scratch []candidate
-	workers []near
+	rng        *rand.Rand
+	search     fleet.Search
+	history    map[logicalTask]preemptionRecord
+	lastSweep  time.Duration
+	candidates []victimCandidate
+	nodes      []nodeShortfall
 }
 
 // New returns a planner whose sampling depends on seed.
 func New(seed uint64) *Planner {
 	return &Planner{
 		rng:     rand.New(rand.NewPCG(seed, seed)),
-		history: make(map[lineage]record),
+		history: make(map[logicalTask]preemptionRecord),
 	}
 }
 
-// Eligible says whether a task may be stopped for another.
+// Eligible reports whether a task may be a victim.
 type Eligible func(victim *model.Task) bool
 
-// ForUrgent lets urgent work displace other work.
+// ForUrgent makes every task that isn't urgent eligible, for urgent preemptors.
 func ForUrgent(victim *model.Task) bool { return victim.Class != model.ClassUrgent }
 
-// ForShare lets a team take back its share from teams above theirs, but not
-// urgent work. targets are dominant parts of the fleet by team.
-func ForShare(book *shares.Book, targets map[model.TeamID]float64) Eligible {
+// ForShare makes tasks eligible that aren't urgent and whose team stays above its
+// fair share without them, for preemptors of a team below its own. targets holds the
+// fair shares as dominant shares by team.
+func ForShare(accounts *shares.Accounts, targets map[model.TeamID]float64) Eligible {
 	return func(victim *model.Task) bool {
 		if victim.Class == model.ClassUrgent {
 			return false
 		}
-		over := book.Account(victim.Team).Dominant() - targets[victim.Team]
-		return over > shares.Dominant(victim.Demand, book.Capacity())
+		excess := accounts.Account(victim.Team).DominantShare() - targets[victim.Team]
+		return excess > shares.DominantShare(victim.Demand, accounts.Capacity())
 	}
 }
 
-// stoppable reports whether a task's kind allows to stop it: nobody waits for it
-// and it may be run again.
-func stoppable(t *model.Task) bool {
+// preemptible reports whether a task may be stopped at all: no caller waits for it
+// and it may run again.
+func preemptible(t *model.Task) bool {
 	switch t.Kind {
 	case model.KindBatch:
 		return t.Repeatable
@@ -117,12 +121,13 @@
 	return false
 }
 
-// Plan returns the cheapest plan found for a task.
+// Plan returns the cheapest plan found for a task. When there is none, the status
+// isn't OK and holds the reason.
 func (p *Planner) Plan(now time.Duration, f *fleet.Fleet, t *model.Task, eligible Eligible) (Plan, plugin.Status) {
 	p.search.Start(f, f.Select(t.Require), t.Demand)
 	best := Plan{}
-	for _, near := range p.nearest(t.Demand) {
-		plan, ok := p.planOn(now, near.node, t, eligible)
+	for _, sampled := range p.sampleNodes(t.Demand) {
+		plan, ok := p.planOn(now, sampled.node, t, eligible)
 		if ok && (best.Worker == "" || plan.Cost < best.Cost) {
 			best = plan
 		}
@@ -133,17 +138,18 @@
 	return best, plugin.Status{}
 }
 
-// near is a worker and the part of it that a task lacks there.
-type near struct {
-	node  *fleet.Node
-	lacks float64
+// nodeShortfall is a worker and the capacity that a task lacks there, as the dominant
+// share of the worker.
+type nodeShortfall struct {
+	node      *fleet.Node
+	shortfall float64
 }
 
-// nearest samples workers and returns those where the demand lacks the least, the
-// least first.
-func (p *Planner) nearest(demand model.Resources) []near {
-	p.workers = p.workers[:0]
-	for range probes {
+// sampleNodes samples workers and returns at most maxPlans of them, in increasing
+// order of shortfall.
+func (p *Planner) sampleNodes(demand model.Resources) []nodeShortfall {
+	p.nodes = p.nodes[:0]
+	for range maxProbes {
 		n := p.search.Probe(p.rng.IntN)
 		if n == nil {
 			break
@@ -151,15 +157,15 @@
 		if !n.Schedulable() || !demand.Fits(n.Worker.Capacity) || !p.search.Selection.Matches(n) {
 			continue
 		}
-		lacks := demand.Sub(n.Available().Add(n.Stopping()))
-		p.workers = append(p.workers, near{n, shares.Dominant(lacks, n.Worker.Capacity)})
+		missing := demand.Sub(n.Available().Add(n.Stopping()))
+		p.nodes = append(p.nodes, nodeShortfall{n, shares.DominantShare(missing, n.Worker.Capacity)})
 	}
-	slices.SortStableFunc(p.workers, func(x, y near) int { return compare(x.lacks, y.lacks) })
-	return p.workers[:min(len(p.workers), plans)]
+	slices.SortStableFunc(p.nodes, func(x, y nodeShortfall) int { return compare(x.shortfall, y.shortfall) })
+	return p.nodes[:min(len(p.nodes), maxPlans)]
 }
 
-// Apply marks a plan's victims as stopping, holds the room for the task until
-// expires, and counts the stops.
+// Apply marks a plan's victims as stopping, reserves the capacity for the task with a
+// hold until expires, and counts the preemptions.
 func (p *Planner) Apply(now time.Duration, f *fleet.Fleet, t *model.Task, plan Plan, expires time.Duration) error {
 	if err := f.Hold(t, plan.Worker, expires); err != nil {
 		return err
@@ -170,8 +176,8 @@
 		if a == nil {
 			continue
 		}
-		key := lineageOf(a.Task)
-		p.history[key] = record{count: p.count(now, key) + 1, last: now}
+		key := logicalTaskOf(a.Task)
+		p.history[key] = preemptionRecord{count: p.recentStops(now, key) + 1, last: now}
 		if err := f.MarkStopping(v.Task); err != nil {
 			return err
 		}
@@ -179,68 +185,71 @@
 	return nil
 }
 
-func (p *Planner) count(now time.Duration, key lineage) int {
+// recentStops returns how often a logical task was preempted, or 0 if the last
+// preemption is at least preemptionWindow ago.
+func (p *Planner) recentStops(now time.Duration, key logicalTask) int {
 	r, ok := p.history[key]
-	if !ok || now-r.last >= budgetPeriod {
+	if !ok || now-r.last >= preemptionWindow {
 		return 0
 	}
 	return r.count
 }
 
-// sweep forgets old records once in a budget period.
+// sweep deletes expired records, at most once per preemptionWindow.
 func (p *Planner) sweep(now time.Duration) {
-	if now-p.swept < budgetPeriod {
+	if now-p.lastSweep < preemptionWindow {
 		return
 	}
-	p.swept = now
+	p.lastSweep = now
 	for key, r := range p.history {
-		if now-r.last >= budgetPeriod {
+		if now-r.last >= preemptionWindow {
 			delete(p.history, key)
 		}
 	}
 }
 
-// candidate is a task that could be stopped.
-type candidate struct {
-	allocation *fleet.Allocation
-	cost       float64
-	perPart    float64 // cost in relation to the part of the need that it frees
+// victimCandidate is a task that may be preempted.
+type victimCandidate struct {
+	allocation   *fleet.Allocation
+	cost         float64
+	costPerFreed float64 // cost divided by the ratio of the shortfall that it frees
 }
 
-// planOn works out what to stop on one worker.
+// planOn chooses victims on one worker. It returns false if all candidates
+// together would not free enough.
 func (p *Planner) planOn(now time.Duration, n *fleet.Node, t *model.Task, eligible Eligible) (Plan, bool) {
-	room := n.Available().Add(n.Stopping())
-	short := positive(t.Demand.Sub(room))
-	if short.IsZero() {
+	free := n.Available().Add(n.Stopping())
+	missing := clampToZero(t.Demand.Sub(free))
+	if missing.IsZero() {
 		return Plan{Worker: n.Worker.ID}, true
 	}
-	p.scratch = p.scratch[:0]
+	p.candidates = p.candidates[:0]
 	for _, a := range n.Allocations() {
-		if a.Stopping || !stoppable(a.Task) || !eligible(a.Task) {
+		if a.Stopping || !preemptible(a.Task) || !eligible(a.Task) {
 			continue
 		}
-		if c, ok := p.candidate(now, a, short); ok {
-			p.scratch = append(p.scratch, c)
+		if c, ok := p.victimCandidate(now, a, missing); ok {
+			p.candidates = append(p.candidates, c)
 		}
 	}
-	slices.SortStableFunc(p.scratch, func(x, y candidate) int { return compare(x.perPart, y.perPart) })
-	single, found := cheapestSingle(p.scratch, room, t.Demand)
-	chosen, ok := choose(p.scratch, room, t.Demand)
+	slices.SortStableFunc(p.candidates, func(x, y victimCandidate) int { return compare(x.costPerFreed, y.costPerFreed) })
+	single, found := cheapestSingle(p.candidates, free, t.Demand)
+	chosen, ok := chooseVictims(p.candidates, free, t.Demand)
 	if !ok {
 		return Plan{}, false
 	}
 	plan := planOf(n, chosen)
 	if found && single.cost <= plan.Cost {
-		return planOf(n, []candidate{single}), true
+		return planOf(n, []victimCandidate{single}), true
 	}
 	return plan, true
 }
 
-// cheapestSingle returns the cheapest candidate whose stop is enough.
-func cheapestSingle(candidates []candidate, room, demand model.Resources) (candidate, bool) {
-	best, found := candidate{}, false
+// cheapestSingle returns the cheapest candidate that frees enough by itself.
+func cheapestSingle(candidates []victimCandidate, free, demand model.Resources) (victimCandidate, bool) {
+	best, found := victimCandidate{}, false
 	for _, c := range candidates {
-		if !demand.Fits(room.Add(c.allocation.Task.Demand)) {
+		if !demand.Fits(free.Add(c.allocation.Task.Demand)) {
 			continue
 		}
 		if !found || c.cost < best.cost {
@@ -250,50 +259,53 @@
 	return best, found
 }
 
-func (p *Planner) candidate(now time.Duration, a *fleet.Allocation, short model.Resources) (candidate, bool) {
-	stops := p.count(now, lineageOf(a.Task))
+// victimCandidate computes the cost of preempting a task. It returns false if the task
+// was preempted too often or frees nothing that is missing. The cost quadruples with
+// each recent preemption.
+func (p *Planner) victimCandidate(now time.Duration, a *fleet.Allocation, missing model.Resources) (victimCandidate, bool) {
+	stops := p.recentStops(now, logicalTaskOf(a.Task))
 	if stops >= maxPreemptions {
-		return candidate{}, false
+		return victimCandidate{}, false
 	}
-	useful := shares.Dominant(atMost(a.Task.Demand, short), short)
+	useful := shares.DominantShare(minOf(a.Task.Demand, missing), missing)
 	if useful == 0 {
-		return candidate{}, false
+		return victimCandidate{}, false
 	}
 	lost := lostWork(now, a) * float64(int(1)<<(2*stops))
 	if a.Task.Class != model.ClassLow {
-		lost *= normalFactor
+		lost *= normalClassMultiplier
 	}
-	cost := lost * shares.Dominant(a.Task.Demand, a.Node.Worker.Capacity)
-	return candidate{allocation: a, cost: cost, perPart: cost / useful}, true
+	cost := lost * shares.DominantShare(a.Task.Demand, a.Node.Worker.Capacity)
+	return victimCandidate{allocation: a, cost: cost, costPerFreed: cost / useful}, true
 }
 
-// lostWork is the expected run time lost in seconds.
+// lostWork returns the expected run time lost, in seconds.
 func lostWork(now time.Duration, a *fleet.Allocation) float64 {
 	if a.Task.Kind == model.KindService {
-		return checkpointLoss.Seconds()
+		return checkpointCost.Seconds()
 	}
-	unsaved := max(now-a.Since, 0) / unsavedPart
-	return (checkpointLoss + unsaved).Seconds()
+	unsaved := max(now-a.Since, 0) / checkpointsPerFailure
+	return (checkpointCost + unsaved).Seconds()
 }
 
-// choose takes candidates in order until demand fits, then gives back those that
-// turn out to be not needed, the costliest first.
-func choose(order []candidate, room, demand model.Resources) ([]candidate, bool) {
+// chooseVictims takes candidates in order until demand fits, then drops those that
+// aren't needed, the most expensive ones first.
+func chooseVictims(candidates []victimCandidate, free, demand model.Resources) ([]victimCandidate, bool) {
 	taken := 0
-	for taken < len(order) && !demand.Fits(room) {
-		room = room.Add(order[taken].allocation.Task.Demand)
+	for taken < len(candidates) && !demand.Fits(free) {
+		free = free.Add(candidates[taken].allocation.Task.Demand)
 		taken++
 	}
-	if !demand.Fits(room) {
+	if !demand.Fits(free) {
 		return nil, false
 	}
-	chosen := order[:taken]
-	slices.SortStableFunc(chosen, func(x, y candidate) int { return compare(y.cost, x.cost) })
+	chosen := candidates[:taken]
+	slices.SortStableFunc(chosen, func(x, y victimCandidate) int { return compare(y.cost, x.cost) })
 	needed := chosen[:0]
 	for _, c := range chosen {
-		without := room.Sub(c.allocation.Task.Demand)
+		without := free.Sub(c.allocation.Task.Demand)
 		if demand.Fits(without) {
-			room = without
+			free = without
 			continue
 		}
 		needed = append(needed, c)
@@ -301,7 +313,7 @@
 	return needed, true
 }
 
-func planOf(n *fleet.Node, chosen []candidate) Plan {
+func planOf(n *fleet.Node, chosen []victimCandidate) Plan {
 	plan := Plan{Worker: n.Worker.ID}
 	for _, c := range chosen {
 		plan.Victims = append(plan.Victims, Victim{Task: c.allocation.Task.ID, Mode: platform.StopCheckpoint})
@@ -320,7 +332,8 @@
 	return 0
 }
 
-func positive(r model.Resources) model.Resources {
+// clampToZero replaces negative amounts by 0.
+func clampToZero(r model.Resources) model.Resources {
 	return model.Resources{
 		MilliCPU:     max(r.MilliCPU, 0),
 		MemoryMiB:    max(r.MemoryMiB, 0),
@@ -329,7 +342,8 @@
 	}
 }
 
-func atMost(a, b model.Resources) model.Resources {
+// minOf returns the minimum of a and b in each dimension.
+func minOf(a, b model.Resources) model.Resources {
 	return model.Resources{
 		MilliCPU:     min(a.MilliCPU, b.MilliCPU),
 		MemoryMiB:    min(a.MemoryMiB, b.MemoryMiB),
--- a/internal/scheduler/preempt/preempt_test.go
+++ b/internal/scheduler/preempt/preempt_test.go
@@ -79,7 +79,7 @@
 	require.True(t, status.Success())
 	require.NoError(t, p.Apply(now, f, u, plan, now+time.Minute))
 	f.Release("v")
-	require.ErrorIs(t, f.Assume(now, victim("thief", 500, "low"), "w"), fleet.ErrNoRoom)
+	require.ErrorIs(t, f.Assume(now, victim("thief", 500, "low"), "w"), fleet.ErrInsufficientCapacity)
 	require.NoError(t, f.Assume(now, victim("beside", 400, "low"), "w"))
 	require.NoError(t, f.Assume(now, u, "w"))
 }
@@ -124,7 +124,7 @@
 
 func TestPreemptForShareTakesOnlyFromTeamsAboveTheirs(t *testing.T) {
 	f := oneWorker()
-	book := shares.NewBook()
+	book := shares.NewAccounts()
 	book.SetCapacity(f.Capacity())
 	for _, v := range []*model.Task{victim("rich1", 400, "normal"), victim("rich2", 300, "normal"), victim("poor", 300, "low")} {
 		if v.ID == "poor" {
--- a/internal/scheduler/queue/cancel.go
+++ b/internal/scheduler/queue/cancel.go
@@ -7,7 +7,8 @@
 	"pollenbend/internal/model"
 )
 
-// Cancel takes a waiting task out and returns it, or nil when it doesn't wait.
+// Cancel removes and returns a waiting or parked task, or returns nil if there is
+// none of that ID.
 func (q *Queue) Cancel(id model.TaskID) *model.Task {
 	if it := q.parked[id]; it != nil {
 		delete(q.parked, id)
@@ -21,12 +22,12 @@
 	t := it.task
 	tm := q.team(t.Team)
 	q.cancel(tm, &tm.backlogs[classIndex(t.Class)], it)
-	q.arrange(tm)
+	q.updateHeaps(tm)
 	return t
 }
 
-// CancelJob takes all waiting tasks of a team's job out in one pass, and returns
-// them in the order received within each class and lane.
+// CancelJob removes all waiting and parked tasks of a team's job and returns them:
+// first the parked ones, then by class and lane, each in the order received.
 func (q *Queue) CancelJob(name model.TeamID, job model.JobID) []*model.Task {
 	tm := q.team(name)
 	out := q.cancelParked(tm, job)
@@ -36,7 +37,7 @@
 			out = append(out, q.cancelInLane(tm, b, &b.lanes[i], job)...)
 		}
 	}
-	q.arrange(tm)
+	q.updateHeaps(tm)
 	return out
 }
 
--- a/internal/scheduler/queue/doc.go
+++ b/internal/scheduler/queue/doc.go
@@ -1,7 +1,9 @@
-// Package queue holds the work that waits: for each team and class the tasks in
-// the order received. Pop gives the next task to place: urgent work first, then
-// the team that is furthest below its share.
+// Package queue holds the waiting tasks by team and priority class, in the order
+// received. Pop returns the next task to place: from the highest class that has
+// work, and in it from the team with the lowest dominant share relative to its
+// weight.
 //
-// A team whose upper limit is reached, or whose next task can't be placed, is
-// passed over until Wake, SetUsage or LimitChanged says that something changed.
+// A team that has reached its concurrency limit is skipped until Ended or
+// LimitChanged is called for it. A lane whose next task can't be placed is skipped
+// until Wake reports enough capacity.
 package queue
--- a/internal/scheduler/queue/heap.go
+++ b/internal/scheduler/queue/heap.go
@@ -2,57 +2,57 @@
 
 import "container/heap"
 
-// entry is a team's place in the order of one class.
-type entry struct {
+// heapEntry is a team's entry in the heap of one class.
+type heapEntry struct {
 	team  *team
 	class int
-	pos   int // in the heap, -1 when not in it
-	level float64
+	pos   int     // index in the heap, -1 when not in it
+	level float64 // Account.Level when the entry was updated
 }
 
-// order is a heap of teams with work that may be tried, the lowest level first.
-type order []*entry
+// teamHeap is a heap of the teams with an eligible task, ordered by increasing level.
+type teamHeap []*heapEntry
 
-func (o order) Len() int { return len(o) }
+func (h teamHeap) Len() int { return len(h) }
 
-// Less breaks ties by the team's name, so that the order is the same in any run.
-func (o order) Less(i, j int) bool {
-	if o[i].level != o[j].level {
-		return o[i].level < o[j].level
+// Less breaks ties by the team's name, so that the order is the same in every run.
+func (h teamHeap) Less(i, j int) bool {
+	if h[i].level != h[j].level {
+		return h[i].level < h[j].level
 	}
-	return o[i].team.name < o[j].team.name
+	return h[i].team.name < h[j].team.name
 }
 
-func (o order) Swap(i, j int) {
-	o[i], o[j] = o[j], o[i]
-	o[i].pos, o[j].pos = i, j
+func (h teamHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].pos, h[j].pos = i, j
 }
 
-func (o *order) Push(x any) {
-	e := x.(*entry)
-	e.pos = len(*o)
-	*o = append(*o, e)
+func (h *teamHeap) Push(x any) {
+	e := x.(*heapEntry)
+	e.pos = len(*h)
+	*h = append(*h, e)
 }
 
-func (o *order) Pop() any {
-	last := len(*o) - 1
-	e := (*o)[last]
-	(*o)[last] = nil
-	*o = (*o)[:last]
+func (h *teamHeap) Pop() any {
+	last := len(*h) - 1
+	e := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
 	e.pos = -1
 	return e
 }
 
-// place puts an entry where its level belongs, or takes it out.
-func (o *order) place(e *entry, wanted bool, level float64) {
+// update adds an entry, moves it to the position of its level, or removes it.
+func (h *teamHeap) update(e *heapEntry, eligible bool, level float64) {
 	switch {
-	case !wanted && e.pos >= 0:
-		heap.Remove(o, e.pos)
-	case wanted && e.pos < 0:
+	case !eligible && e.pos >= 0:
+		heap.Remove(h, e.pos)
+	case eligible && e.pos < 0:
 		e.level = level
-		heap.Push(o, e)
-	case wanted && e.level != level:
+		heap.Push(h, e)
+	case eligible && e.level != level:
 		e.level = level
-		heap.Fix(o, e.pos)
+		heap.Fix(h, e.pos)
 	}
 }
--- a/internal/scheduler/queue/lane.go
+++ b/internal/scheduler/queue/lane.go
@@ -6,23 +6,24 @@
 	"pollenbend/internal/model"
 )
 
-// lanes is the number of lanes of one team and class.
-const lanes = 16
+// laneCount is the number of laneCount of one team and class.
+const laneCount = 16
 
-// item is one waiting task; task is nil once it was canceled.
+// item is one waiting task.
 type item struct {
-	task *model.Task
-	seq  uint64 // order received
+	task *model.Task // nil once it was canceled
+	seq  uint64      // sequence number in the order received
 }
 
-// lane is a FIFO of tasks that compete for the same workers: of one kind, with
-// the same selector and need for accelerators. A task that can't be placed holds
-// up its own lane only. Its first item is never a canceled one.
+// lane is a FIFO queue of tasks that compete for the same workers: tasks of one
+// kind that have the same selector and all need accelerators or all don't (or have
+// the same hash by chance). A task that can't be placed blocks only its own lane.
+// The first item is never a canceled one.
 type lane struct {
-	items   []*item
-	head    int
-	blocked bool
-	listed  bool // in Queue.blocked
+	items     []*item
+	head      int  // index of the first item
+	blocked   bool // its first task couldn't be placed
+	inBlocked bool // it is in Queue.blocked
 }
 
 func (l *lane) empty() bool { return l.head == len(l.items) }
@@ -31,7 +32,8 @@
 
 func (l *lane) push(it *item) { l.items = append(l.items, it) }
 
-// pushFront puts a task back before all that were received later.
+// pushFront requeues an item before all that were received later. It suits items
+// that belong near the front.
 func (l *lane) pushFront(it *item) {
 	if l.head == 0 {
 		l.items = append(l.items, nil)
@@ -47,7 +49,7 @@
 	l.items[at] = it
 }
 
-// insert puts an item where its seq belongs.
+// insert adds an item at the position of its seq.
 func (l *lane) insert(it *item) {
 	i := l.head
 	for i < len(l.items) && l.items[i].seq < it.seq {
@@ -68,10 +70,10 @@
 	return it
 }
 
-// trim drops canceled items from the front, and gives back the space of dropped
-// items when it is most of the lane.
+// trim drops canceled items from the front. It moves the items to the start of the
+// slice when at least minFreed places, and at least half of them all, are unused.
 func (l *lane) trim() {
-	const worthwhile = 64
+	const minFreed = 64
 	for !l.empty() && l.items[l.head].task == nil {
 		l.items[l.head] = nil
 		l.head++
@@ -81,7 +83,7 @@
 		l.head = 0
 		return
 	}
-	if l.head < worthwhile || l.head*2 < len(l.items) {
+	if l.head < minFreed || l.head*2 < len(l.items) {
 		return
 	}
 	n := copy(l.items, l.items[l.head:])
@@ -90,8 +92,8 @@
 	l.head = 0
 }
 
-// canceled is called when one of the lane's items was canceled. When it was the
-// first, the lane may be tried again.
+// canceled is called after one of the lane's items was canceled. If it was the
+// first, the lane is unblocked.
 func (l *lane) canceled() {
 	if !l.empty() && l.items[l.head].task == nil {
 		l.blocked = false
@@ -99,14 +101,13 @@
 	}
 }
 
-// backlog is the waiting work of one team and class.
+// backlog holds the waiting tasks of one team and class.
 type backlog struct {
-	lanes [lanes]lane
-	size  int
+	lanes [laneCount]lane
+	size  int // waiting tasks
 }
 
-// next returns the lane whose first task was received first, leaving blocked
-// lanes out, or nil.
+// next returns the unblocked lane whose first task was received first, or nil.
 func (b *backlog) next() *lane {
 	var best *lane
 	for i := range b.lanes {
@@ -121,4 +122,4 @@
 	return best
 }
 
-func (b *backlog) laneOf(t *model.Task) *lane { return &b.lanes[laneHash(t)%lanes] }
+func (b *backlog) laneOf(t *model.Task) *lane { return &b.lanes[laneHash(t)%laneCount] }
--- a/internal/scheduler/queue/queue.go
+++ b/internal/scheduler/queue/queue.go
@@ -11,7 +11,8 @@
 	"pollenbend/internal/verdict"
 )
 
-// Limiter hands out permits to run one task of a team.
+// Limiter enforces concurrency limits: it grants and takes back permits to run one
+// task of a team.
 type Limiter interface {
 	Acquire(model.TeamID) bool
 	Release(model.TeamID)
@@ -26,13 +27,13 @@
 // Release implements Limiter.
 func (Unlimited) Release(model.TeamID) {}
 
-// DefaultMaxWaiting is the most tasks of one team that wait.
+// DefaultMaxWaiting is the default maximum number of waiting tasks of one team.
 const DefaultMaxWaiting = 100_000
 
-// retryWhenFull is what a refused caller is told to wait.
-const retryWhenFull = time.Second
+// overloadRetryDelay is the retry delay returned to callers of a full queue.
+const overloadRetryDelay = time.Second
 
-// classes in the order in which they are served.
+// Priority classes, in the order in which Pop serves them.
 const (
 	classUrgent = iota
 	classNormal
@@ -50,35 +51,35 @@
 	return classNormal
 }
 
-// team is the waiting work of one team.
+// team holds the waiting tasks of one team.
 type team struct {
 	name     model.TeamID
 	account  *shares.Account
 	backlogs [classCount]backlog
-	entries  [classCount]entry
-	limited  bool // its upper limit was reached
-	waiting  int
-	demand   model.Resources // of what waits
-	ceiling  float64         // dominant part up to which it may start work
+	entries  [classCount]heapEntry
+	limited  bool            // it has reached its concurrency limit
+	waiting  int             // waiting and parked tasks
+	demand   model.Resources // total demand of these tasks
+	ceiling  float64         // dominant share at which it starts no more normal or low work
 }
 
-// Config sets up a Queue.
+// Config configures a Queue.
 type Config struct {
-	MaxWaiting int // tasks of one team; DefaultMaxWaiting when 0
-	Limiter    Limiter
+	MaxWaiting int     // tasks of one team; DefaultMaxWaiting when 0
+	Limiter    Limiter // Unlimited when nil
 }
 
-// Queue is the waiting work of all teams.
+// Queue holds the waiting tasks of all teams.
 type Queue struct {
-	Book *shares.Book
+	Book *shares.Accounts
 
 	maxWaiting int
 	limiter    Limiter
 	teams      map[model.TeamID]*team
-	orders     [classCount]order
+	heaps      [classCount]teamHeap
 	waiting    map[model.TaskID]*item
-	popped     map[model.TaskID]*item // handed out by Pop
-	parked     map[model.TaskID]*item // room is being made for them
+	popped     map[model.TaskID]*item // returned by Pop, not yet settled by the caller
+	parked     map[model.TaskID]*item // waiting for preempted capacity
 	blocked    []blockedLane
 	seq        uint64
 }
@@ -92,7 +93,7 @@
 		c.Limiter = Unlimited{}
 	}
 	return &Queue{
-		Book:       shares.NewBook(),
+		Book:       shares.NewAccounts(),
 		maxWaiting: c.MaxWaiting,
 		limiter:    c.Limiter,
 		teams:      make(map[model.TeamID]*team),
@@ -102,10 +103,10 @@
 	}
 }
 
-// Len returns the number of tasks that wait.
+// Len returns the number of waiting and parked tasks.
 func (q *Queue) Len() int { return len(q.waiting) + len(q.parked) }
 
-// Waiting returns the number of a team's tasks that wait.
+// Waiting returns the number of a team's waiting and parked tasks.
 func (q *Queue) Waiting(name model.TeamID) int {
 	if tm := q.teams[name]; tm != nil {
 		return tm.waiting
@@ -113,37 +114,38 @@
 	return 0
 }
 
-// Push adds a task behind its team's others. A refusal has verdict NotRun and
-// code overloaded, or conflict when the task waits already.
+// Push adds a task after the others of its team and class. If it refuses the task,
+// the error has verdict NotRun and code overloaded, or conflict when the task is
+// already waiting.
 func (q *Queue) Push(t *model.Task) error {
 	tm := q.team(t.Team)
 	if q.waiting[t.ID] != nil || q.parked[t.ID] != nil {
 		return verdict.Refuse(verdict.CodeConflict, "task %s waits already", t.ID)
 	}
 	if tm.waiting >= q.maxWaiting {
-		return verdict.Refuse(verdict.CodeOverloaded, "team %s has %d tasks waiting", t.Team, tm.waiting).After(retryWhenFull)
+		return verdict.Refuse(verdict.CodeOverloaded, "team %s has %d tasks waiting", t.Team, tm.waiting).After(overloadRetryDelay)
 	}
 	q.seq++
 	q.add(tm, &item{t, q.seq}, (*lane).push)
 	return nil
 }
 
+// add puts an item into the lane of its task with put.
 func (q *Queue) add(tm *team, it *item, put func(*lane, *item)) {
 	class := classIndex(it.task.Class)
 	put(tm.backlogs[class].laneOf(it.task), it)
 	tm.backlogs[class].size++
 	tm.addWaiting(it.task, 1)
 	q.waiting[it.task.ID] = it
-	q.arrange(tm)
+	q.updateHeaps(tm)
 }
 
-// Pop returns the next task to place and takes a permit of its team's limit, or
-// nil when nothing can be tried now. The caller must follow with Started, Defer or
-// Drop.
+// Pop returns the next task to place and acquires a permit of its team, or returns
+// nil if no task is eligible. The caller must then call Started, Defer, Park or Drop.
 func (q *Queue) Pop() *model.Task {
-	for class := range q.orders {
-		for len(q.orders[class]) > 0 {
-			e := q.orders[class][0]
+	for class := range q.heaps {
+		for len(q.heaps[class]) > 0 {
+			e := q.heaps[class][0]
 			if t := q.popFrom(e.team, class); t != nil {
 				return t
 			}
@@ -152,12 +154,12 @@
 	return nil
 }
 
-// popFrom takes a team's next task of one class. A nil result means that the team
-// was taken out of the order.
+// popFrom removes and returns a team's next task of one class. If the team has
+// reached its limit, it removes the team from the heaps and returns nil.
 func (q *Queue) popFrom(tm *team, class int) *model.Task {
 	if !q.limiter.Acquire(tm.name) {
 		tm.limited = true
-		q.arrange(tm)
+		q.updateHeaps(tm)
 		return nil
 	}
 	b := &tm.backlogs[class]
@@ -166,12 +168,12 @@
 	tm.addWaiting(it.task, -1)
 	delete(q.waiting, it.task.ID)
 	q.popped[it.task.ID] = it
-	q.arrange(tm)
+	q.updateHeaps(tm)
 	return it.task
 }
 
-// Started charges a popped task, committed on a worker, to its team. It returns
-// the task's place in the order received, for Return.
+// Started charges a popped task that was committed to a worker to its team. It
+// returns the task's sequence number in the order received, for Return.
 func (q *Queue) Started(t *model.Task) uint64 {
 	var seq uint64
 	if it := q.popped[t.ID]; it != nil {
@@ -179,33 +181,33 @@
 		delete(q.popped, t.ID)
 	}
 	q.Book.Charge(t.Team, t.Demand)
-	q.arrange(q.team(t.Team))
+	q.updateHeaps(q.team(t.Team))
 	return seq
 }
 
-// Return puts a started task that did not run back in its old place, seq. Its
-// charge must have been taken back by Ended.
+// Return requeues a started task that didn't run at its old position, seq. Its
+// charge must have been refunded by Ended.
 func (q *Queue) Return(t *model.Task, seq uint64) {
 	if q.waiting[t.ID] == nil {
 		q.add(q.team(t.Team), &item{t, seq}, (*lane).insert)
 	}
 }
 
-// Adopt charges a task that runs already and never waited here.
+// Adopt charges a task that is already running and never waited in this queue.
 func (q *Queue) Adopt(t *model.Task) { q.Started(t) }
 
-// Ended takes a started task's charge back and returns its permit. Call it when
-// the worker has confirmed the end.
+// Ended refunds a started task's charge and releases its permit. Call it when the
+// worker has confirmed the end.
 func (q *Queue) Ended(t *model.Task) {
 	q.Book.Refund(t.Team, t.Demand)
 	q.limiter.Release(t.Team)
 	tm := q.team(t.Team)
 	tm.limited = false
-	q.arrange(tm)
+	q.updateHeaps(tm)
 }
 
-// Defer puts back a popped task that can't be placed, in its old place, and
-// blocks what waits for the same workers until Wake.
+// Defer requeues a popped task that can't be placed at its old position, releases
+// its permit and blocks its lane until Wake.
 func (q *Queue) Defer(t *model.Task) {
 	it := q.popped[t.ID]
 	if it == nil {
@@ -218,8 +220,9 @@
 	q.add(tm, it, (*lane).pushFront)
 }
 
-// Park keeps a popped task aside, without its permit, while room is made for it.
-// It doesn't hold up what waits behind it. Unpark lets it be tried again.
+// Park takes a popped task out of its lane while capacity is preempted for it, and
+// releases its permit. A parked task doesn't block the tasks after it. Unpark
+// requeues it.
 func (q *Queue) Park(t *model.Task) {
 	it := q.popped[t.ID]
 	if it == nil {
@@ -231,8 +234,8 @@
 	q.team(t.Team).addWaiting(t, 1)
 }
 
-// Unpark puts a parked task back in its old place. It does nothing when the task
-// isn't parked.
+// Unpark requeues a parked task at its old position and unblocks its lane. It does
+// nothing if the task isn't parked.
 func (q *Queue) Unpark(id model.TaskID) {
 	it := q.parked[id]
 	if it == nil {
@@ -245,7 +248,7 @@
 	q.add(tm, it, (*lane).pushFront)
 }
 
-// Drop forgets a popped task and returns its permit.
+// Drop discards a popped task and releases its permit.
 func (q *Queue) Drop(t *model.Task) {
 	if _, ok := q.popped[t.ID]; !ok {
 		return
@@ -254,62 +257,62 @@
 	q.limiter.Release(t.Team)
 }
 
-// Wake lets blocked work be tried again when its next task fits into room, the
-// free capacity of a worker that changed.
-func (q *Queue) Wake(room model.Resources) {
-	still := q.blocked[:0]
+// Wake unblocks the lanes whose first task fits into free, the free capacity of a
+// worker that changed.
+func (q *Queue) Wake(free model.Resources) {
+	stillBlocked := q.blocked[:0]
 	for _, b := range q.blocked {
-		if b.lane.blocked && !b.lane.empty() && !b.lane.first().task.Demand.Fits(room) {
-			still = append(still, b)
+		if b.lane.blocked && !b.lane.empty() && !b.lane.first().task.Demand.Fits(free) {
+			stillBlocked = append(stillBlocked, b)
 			continue
 		}
 		b.lane.blocked = false
-		b.lane.listed = false
-		q.arrange(b.team)
+		b.lane.inBlocked = false
+		q.updateHeaps(b.team)
 	}
-	clear(q.blocked[len(still):])
-	q.blocked = still
+	clear(q.blocked[len(stillBlocked):])
+	q.blocked = stillBlocked
 }
 
-// block passes a lane over until Wake.
+// block excludes a lane from Pop until Wake.
 func (q *Queue) block(tm *team, l *lane) {
 	l.blocked = true
-	if !l.listed {
-		l.listed = true
+	if !l.inBlocked {
+		l.inBlocked = true
 		q.blocked = append(q.blocked, blockedLane{tm, l})
 	}
 }
 
-// blockedLane is a lane that Wake looks at.
+// blockedLane is a lane that Wake checks.
 type blockedLane struct {
 	team *team
 	lane *lane
 }
 
-// LimitChanged lets a team be tried again that had reached its upper limit.
+// LimitChanged makes a team that had reached its concurrency limit eligible again.
 func (q *Queue) LimitChanged(name model.TeamID) {
 	tm := q.team(name)
 	tm.limited = false
-	q.arrange(tm)
+	q.updateHeaps(tm)
 }
 
 // SetShare sets a team's weight.
 func (q *Queue) SetShare(name model.TeamID, share int64) {
-	q.Book.SetShare(name, share)
-	q.arrange(q.team(name))
+	q.Book.SetWeight(name, share)
+	q.updateHeaps(q.team(name))
 }
 
-// SetUsage sets what a team's tasks placed by other instances hold.
+// SetUsage sets the resources that a team's tasks placed by other instances hold.
 func (q *Queue) SetUsage(name model.TeamID, usage model.Resources) {
-	q.Book.SetElsewhere(name, usage)
-	q.arrange(q.team(name))
+	q.Book.SetRemoteUsage(name, usage)
+	q.updateHeaps(q.team(name))
 }
 
-// SetCapacity sets what the whole fleet has.
+// SetCapacity sets the total capacity of the fleet.
 func (q *Queue) SetCapacity(capacity model.Resources) {
 	q.Book.SetCapacity(capacity)
 	for _, tm := range q.teams {
-		q.arrange(tm)
+		q.updateHeaps(tm)
 	}
 }
 
@@ -320,23 +323,24 @@
 	}
 	tm = &team{name: name, account: q.Book.Account(name), ceiling: math.Inf(1)}
 	for class := range tm.entries {
-		tm.entries[class] = entry{team: tm, class: class, pos: -1}
+		tm.entries[class] = heapEntry{team: tm, class: class, pos: -1}
 	}
 	q.teams[name] = tm
 	return tm
 }
 
-// arrange puts a team where it belongs in the order of each class.
-func (q *Queue) arrange(tm *team) {
+// updateHeaps updates a team's entry in the heap of each class.
+func (q *Queue) updateHeaps(tm *team) {
 	level := tm.account.Level()
 	for class := range tm.entries {
-		passed := tm.limited || class != classUrgent && tm.atCeiling()
-		wanted := !passed && tm.backlogs[class].size > 0 && tm.backlogs[class].next() != nil
-		q.orders[class].place(&tm.entries[class], wanted, level)
+		skipped := tm.limited || class != classUrgent && tm.atCeiling()
+		eligible := !skipped && tm.backlogs[class].size > 0 && tm.backlogs[class].next() != nil
+		q.heaps[class].update(&tm.entries[class], eligible, level)
 	}
 }
 
-// laneHash tells apart tasks that compete for different workers.
+// laneHash hashes what decides which workers a task competes for: its kind, its
+// selector and whether it needs accelerators.
 func laneHash(t *model.Task) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -18,16 +18,16 @@
 	"pollenbend/internal/scheduler/plugin/zone"
 )
 
-// Config sets up a Scheduler.
+// Config configures a Scheduler.
 type Config struct {
-	Seed uint64         // of the order in which candidates are looked at
-	Home model.Location // of the instance that decides
-	// Filters and Scorers replace the default chain when they are not nil.
+	Seed uint64         // seeds the generator that samples candidates
+	Home model.Location // location of the instance that decides
+	// Filters and Scorers replace the default plugins when they are not nil.
 	Filters []plugin.Filter
-	Scorers []plugin.Weighted
+	Scorers []plugin.WeightedScorer
 }
 
-// Weights of the default scorers in the sum.
+// Weights of the default scorers in a worker's total score.
 const (
 	weightBestFit    = 1
 	weightPreference = 4
@@ -35,21 +35,21 @@
 	weightZone       = 1
 )
 
-// Scheduler decides where tasks run. It is deterministic for the same calls and
-// seed, and belongs to one goroutine.
+// Scheduler decides on which worker a task runs. The same seed and calls give the
+// same decisions. A Scheduler belongs to one goroutine.
 type Scheduler struct {
 	Fleet    *fleet.Fleet
 	Failures *failures.Filter
 
 	filters []plugin.Filter
-	scorers []plugin.Weighted
+	scorers []plugin.WeightedScorer
 	rng     *rand.Rand
 
-	search     fleet.Search
-	preferred  fleet.Search
-	state      plugin.State
-	candidates []*fleet.Node
-	merged     model.Selector
+	search          fleet.Search
+	preferredSearch fleet.Search
+	state           plugin.State
+	candidates      []*fleet.Node
+	mergedSelector  model.Selector
 }
 
 // New returns a scheduler over an empty fleet.
@@ -81,8 +81,8 @@
 	}
 }
 
-func defaultScorers(home model.Location) []plugin.Weighted {
-	return []plugin.Weighted{
+func defaultScorers(home model.Location) []plugin.WeightedScorer {
+	return []plugin.WeightedScorer{
 		{Scorer: bestfit.Scorer{}, Weight: weightBestFit},
 		{Scorer: preference.Scorer{}, Weight: weightPreference},
 		{Scorer: spread.Scorer{}, Weight: weightSpread},
@@ -90,17 +90,20 @@
 	}
 }
 
-// Decision is a worker chosen for a task. Nothing is committed until the caller
-// hands it to Fleet.Assume.
+// Decision is the worker chosen for a task. Nothing is committed until the caller
+// passes it to Fleet.Assume.
 type Decision struct {
 	Worker     model.WorkerID
 	Score      int64
-	Candidates int           // workers that were compared
-	Compromise plugin.Status // why the worker is second best, if it is
+	Candidates int // number of workers compared
+	// AvoidStatus is OK, or the reason to avoid this worker when no worker
+	// without such a reason was found.
+	AvoidStatus plugin.Status
 }
 
-// Place chooses a worker for a task. When the status isn't OK, it says why there
-// is none.
+// Place chooses a worker for a task. When there is none, the status isn't OK and
+// holds the reason. A task that has a hold goes to the worker of the hold if it
+// fits there.
 func (s *Scheduler) Place(now time.Duration, t *model.Task) (Decision, plugin.Status) {
 	n, d, status := s.place(now, t)
 	if n != nil {
@@ -113,71 +116,75 @@
 	var chosen *fleet.Node
 	var d Decision
 	var status plugin.Status
-	s.start(now, t)
+	s.prepare(now, t)
 	s.Fleet.WithoutHold(t.ID, func(held *fleet.Node) {
 		if held != nil && s.search.Fits(held) {
 			chosen = held
 			d = Decision{Candidates: 1}
 			return
 		}
-		chosen, d, status = s.find(t)
+		chosen, d, status = s.findWorker(t)
 	})
 	return chosen, d, status
 }
 
-// start prepares the state of a decision.
-func (s *Scheduler) start(now time.Duration, t *model.Task) {
+// prepare resets the search and the state that the plugins share to task t.
+func (s *Scheduler) prepare(now time.Duration, t *model.Task) {
 	s.search.Start(s.Fleet, s.Fleet.Select(t.Require), t.Demand)
 	s.state = plugin.State{Now: now, Fleet: s.Fleet, Search: &s.search}
 }
 
-func (s *Scheduler) find(t *model.Task) (*fleet.Node, Decision, plugin.Status) {
+// findWorker chooses the best of the sampled candidates. If no filter passes any
+// of them, it scans all workers for the first that is feasible.
+func (s *Scheduler) findWorker(t *model.Task) (*fleet.Node, Decision, plugin.Status) {
 	if s.search.Selection.Empty() {
-		return nil, Decision{}, noMatch
+		return nil, Decision{}, statusNoMatch
 	}
 	if s.search.Refused() {
-		return nil, Decision{}, noRoom
+		return nil, Decision{}, statusNoCapacity
 	}
-	s.collect(t)
-	n, d := s.choose(t)
+	s.collectCandidates(t)
+	n, d := s.selectBest(t)
 	if n != nil {
 		return n, d, plugin.Status{}
 	}
-	n = s.search.Exhaustive(func(n *fleet.Node) bool { return s.filter(t, n).Code <= plugin.Avoid })
+	n = s.search.Exhaustive(func(n *fleet.Node) bool { return s.runFilters(t, n).Code <= plugin.Avoid })
 	if n == nil {
-		return nil, Decision{}, noRoom
+		return nil, Decision{}, statusNoCapacity
 	}
-	return n, Decision{Score: s.score(t, n), Candidates: 1, Compromise: s.filter(t, n)}, plugin.Status{}
+	return n, Decision{Score: s.runScorers(t, n), Candidates: 1, AvoidStatus: s.runFilters(t, n)}, plugin.Status{}
 }
 
-// Statuses of a task that can't be placed now.
+// Statuses of tasks that can't be placed now.
 var (
-	noMatch = plugin.Status{Code: plugin.Unfit, Plugin: selector.Name, Reason: "no worker matches"}
-	noRoom  = plugin.Status{Code: plugin.Unfit, Plugin: resources.Name, Reason: "no matching worker has room"}
+	statusNoMatch    = plugin.Status{Code: plugin.Unfit, Plugin: selector.Name, Reason: "no worker matches"}
+	statusNoCapacity = plugin.Status{Code: plugin.Unfit, Plugin: resources.Name, Reason: "no matching worker has room"}
 )
 
-// choose returns the best candidate that no filter refuses.
-func (s *Scheduler) choose(t *model.Task) (*fleet.Node, Decision) {
+// selectBest returns the candidate with the highest score among those that no
+// filter refuses. Candidates without a reason to avoid them come before the others.
+func (s *Scheduler) selectBest(t *model.Task) (*fleet.Node, Decision) {
 	var best *fleet.Node
 	decision := Decision{Candidates: len(s.candidates)}
 	for _, n := range s.candidates {
-		status := s.filter(t, n)
-		if status.Code > plugin.Avoid || best != nil && status.Code > decision.Compromise.Code {
+		status := s.runFilters(t, n)
+		if status.Code > plugin.Avoid || best != nil && status.Code > decision.AvoidStatus.Code {
 			continue
 		}
-		score := s.score(t, n)
-		if best != nil && status.Code == decision.Compromise.Code && score <= decision.Score {
+		score := s.runScorers(t, n)
+		if best != nil && status.Code == decision.AvoidStatus.Code && score <= decision.Score {
 			continue
 		}
 		best = n
 		decision.Score = score
-		decision.Compromise = status
+		decision.AvoidStatus = status
 	}
 	return best, decision
 }
 
-// filter returns the first refusal, or else the first reason to avoid a worker.
-func (s *Scheduler) filter(t *model.Task, n *fleet.Node) plugin.Status {
+// runFilters returns the first refusal of worker n, or else the first reason to
+// avoid it, or else OK.
+func (s *Scheduler) runFilters(t *model.Task, n *fleet.Node) plugin.Status {
 	worst := plugin.Status{}
 	for _, f := range s.filters {
 		status := f.Filter(&s.state, t, n)
@@ -191,7 +198,8 @@
 	return worst
 }
 
-func (s *Scheduler) score(t *model.Task, n *fleet.Node) int64 {
+// runScorers returns the weighted sum of all scores.
+func (s *Scheduler) runScorers(t *model.Task, n *fleet.Node) int64 {
 	var sum int64
 	for _, w := range s.scorers {
 		sum += w.Weight * w.Score(&s.state, t, n)
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -127,7 +127,7 @@
 		d, status := s.Place(0, task)
 		require.True(t, status.Success())
 		require.NoError(t, s.Fleet.Assume(0, task, d.Worker))
-		require.Equal(t, i > 0, d.Compromise.Plugin == "spread")
+		require.Equal(t, i > 0, d.AvoidStatus.Plugin == "spread")
 	}
 }
 
@@ -205,7 +205,7 @@
 	s.Failures.Record(time.Minute, task, "b")
 	d, status := s.Place(2*time.Minute, task)
 	require.True(t, status.Success(), "a second failure must not leave the job without workers")
-	require.Equal(t, "failures", d.Compromise.Plugin)
+	require.Equal(t, "failures", d.AvoidStatus.Plugin)
 }
 
 func TestPlaceIsDeterministic(t *testing.T) {
--- a/internal/scheduler/shares/shares.go
+++ b/internal/scheduler/shares/shares.go
@@ -1,5 +1,5 @@
-// Package shares keeps what each team uses and how near that is to its weighted
-// fair part of the fleet: weighted max-min over the dominant resource (DRF).
+// Package shares accounts for the resources that each team holds and computes
+// weighted max-min fair shares of the fleet over the dominant resource (DRF).
 package shares
 
 import (
@@ -8,44 +8,45 @@
 	"pollenbend/internal/model"
 )
 
-// Account is one team's use of the fleet.
+// Account holds one team's weight and resource usage.
 type Account struct {
 	Team model.TeamID
 
-	weight    int64
-	elsewhere model.Resources // held by tasks that other instances placed
-	local     model.Resources // held by tasks placed here
-	dominant  float64         // largest part of the fleet held in any dimension
+	weight        int64
+	remote        model.Resources // held by tasks placed by other instances
+	local         model.Resources // held by tasks placed by this instance
+	dominantShare float64         // of Usage, in the whole fleet
 }
 
-// Weight returns the team's share.
+// Weight returns the team's weight.
 func (a *Account) Weight() int64 { return a.weight }
 
-// Usage returns what the team holds in the whole fleet.
-func (a *Account) Usage() model.Resources { return a.elsewhere.Add(a.local) }
+// Usage returns the resources that the team holds in the whole fleet.
+func (a *Account) Usage() model.Resources { return a.remote.Add(a.local) }
 
-// Local returns what the team's tasks placed here hold.
+// Local returns the resources held by the team's tasks that this instance placed.
 func (a *Account) Local() model.Resources { return a.local }
 
-// Dominant returns the largest part of the fleet that the team holds in any
-// dimension, from 0 to 1.
-func (a *Account) Dominant() float64 { return a.dominant }
+// DominantShare returns the team's maximum share of the fleet over all resource
+// dimensions, from 0 to 1.
+func (a *Account) DominantShare() float64 { return a.dominantShare }
 
-// Level returns the dominant part in relation to the team's share. The team with
-// the lowest level is served next.
-func (a *Account) Level() float64 { return a.dominant / float64(a.weight) }
+// Level returns the dominant share divided by the team's weight. The team with the
+// lowest level is served next.
+func (a *Account) Level() float64 { return a.dominantShare / float64(a.weight) }
 
-// Book holds the accounts of all teams.
-type Book struct {
+// Accounts holds the accounts of all teams.
+type Accounts struct {
 	capacity model.Resources
 	accounts map[model.TeamID]*Account
 }
 
-// NewBook returns a book without teams.
-func NewBook() *Book { return &Book{accounts: make(map[model.TeamID]*Account)} }
+// NewAccounts returns accounts without teams.
+func NewAccounts() *Accounts { return &Accounts{accounts: make(map[model.TeamID]*Account)} }
 
-// Account returns a team's account. A team that wasn't declared has share 1.
-func (b *Book) Account(team model.TeamID) *Account {
+// Account returns a team's account and creates it if it doesn't exist. The default
+// weight is 1.
+func (b *Accounts) Account(team model.TeamID) *Account {
 	a := b.accounts[team]
 	if a == nil {
 		a = &Account{Team: team, weight: 1}
@@ -54,55 +55,56 @@
 	return a
 }
 
-// SetShare sets a team's weight; values below 1 count as 1.
-func (b *Book) SetShare(team model.TeamID, share int64) {
-	b.Account(team).weight = max(share, 1)
+// SetWeight sets a team's weight; values below 1 count as 1.
+func (b *Accounts) SetWeight(team model.TeamID, weight int64) {
+	b.Account(team).weight = max(weight, 1)
 }
 
-// SetCapacity sets what the whole fleet has.
-func (b *Book) SetCapacity(capacity model.Resources) {
+// SetCapacity sets the total capacity of the fleet.
+func (b *Accounts) SetCapacity(capacity model.Resources) {
 	b.capacity = capacity
 	for _, a := range b.accounts {
-		b.update(a)
+		b.updateShare(a)
 	}
 }
 
-// Capacity returns what the whole fleet has.
-func (b *Book) Capacity() model.Resources { return b.capacity }
+// Capacity returns the total capacity of the fleet.
+func (b *Accounts) Capacity() model.Resources { return b.capacity }
 
-// SetElsewhere sets what a team's tasks placed by other instances hold.
-func (b *Book) SetElsewhere(team model.TeamID, usage model.Resources) {
+// SetRemoteUsage sets the resources held by a team's tasks that other instances placed.
+func (b *Accounts) SetRemoteUsage(team model.TeamID, usage model.Resources) {
 	a := b.Account(team)
-	a.elsewhere = usage
-	b.update(a)
+	a.remote = usage
+	b.updateShare(a)
 }
 
 // Charge adds a task's demand to its team's usage.
-func (b *Book) Charge(team model.TeamID, demand model.Resources) {
+func (b *Accounts) Charge(team model.TeamID, demand model.Resources) {
 	a := b.Account(team)
 	a.local = a.local.Add(demand)
-	b.update(a)
+	b.updateShare(a)
 }
 
-// Refund takes a task's demand from its team's usage.
-func (b *Book) Refund(team model.TeamID, demand model.Resources) {
+// Refund subtracts a task's demand from its team's usage.
+func (b *Accounts) Refund(team model.TeamID, demand model.Resources) {
 	a := b.Account(team)
 	a.local = a.local.Sub(demand)
-	b.update(a)
+	b.updateShare(a)
 }
 
-// Remove forgets a team. It does nothing while the team holds anything.
-func (b *Book) Remove(team model.TeamID) {
+// Remove deletes a team's account unless the team holds resources.
+func (b *Accounts) Remove(team model.TeamID) {
 	a := b.accounts[team]
 	if a != nil && a.Usage().IsZero() {
 		delete(b.accounts, team)
 	}
 }
 
-func (b *Book) update(a *Account) { a.dominant = Dominant(a.Usage(), b.capacity) }
+func (b *Accounts) updateShare(a *Account) { a.dominantShare = DominantShare(a.Usage(), b.capacity) }
 
-// Dominant returns the largest part of capacity that used takes in any dimension.
-func Dominant(used, capacity model.Resources) float64 {
+// DominantShare returns the maximum ratio of used to capacity over all dimensions.
+// Dimensions without capacity don't count.
+func DominantShare(used, capacity model.Resources) float64 {
 	return max(
 		ratio(used.MilliCPU, capacity.MilliCPU),
 		ratio(used.MemoryMiB, capacity.MemoryMiB),
@@ -118,22 +120,22 @@
 	return float64(used) / float64(capacity)
 }
 
-// Claim is what a team could use, as a dominant part of the fleet.
+// Claim is one team's claim in the computation of fair shares.
 type Claim struct {
-	Team   model.TeamID
-	Weight int64
-	Wanted float64 // what it holds and what waits
+	Team        model.TeamID
+	Weight      int64
+	WantedShare float64 // dominant share of what it holds and what its waiting tasks demand
 }
 
-// Target is a team's fair part.
+// Target is a team's fair share.
 type Target struct {
-	Team model.TeamID
-	Part float64
+	Team  model.TeamID
+	Share float64 // dominant share, from 0 to 1
 }
 
-// Targets divides total, the part of the fleet that can be in use, by weighted
-// max-min: nobody gets more than it wants, and what is left goes to the others in
-// proportion to their weights. Targets come in the order of the claims.
+// Targets divides total, the share of the fleet that can be in use, by weighted
+// max-min fairness: no team gets more than it wants, and the remaining share goes to
+// the others in proportion to their weights. The result is in the order of claims.
 func Targets(claims []Claim, total float64) []Target {
 	out := make([]Target, len(claims))
 	order := make([]int, len(claims))
@@ -143,22 +145,22 @@
 		order[i] = i
 		weights += max(c.Weight, 1)
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return compareNeed(claims[a], claims[b]) })
-	left := total
+	slices.SortStableFunc(order, func(a, b int) int { return compareWeightedClaims(claims[a], claims[b]) })
+	remaining := total
 	for _, i := range order {
 		weight := max(claims[i].Weight, 1)
-		part := min(claims[i].Wanted, left*float64(weight)/float64(weights))
-		out[i].Part = part
-		left -= part
+		share := min(claims[i].WantedShare, remaining*float64(weight)/float64(weights))
+		out[i].Share = share
+		remaining -= share
 		weights -= weight
 	}
 	return out
 }
 
-// compareNeed orders claims by what they want in relation to their weight.
-func compareNeed(a, b Claim) int {
-	x := a.Wanted / float64(max(a.Weight, 1))
-	y := b.Wanted / float64(max(b.Weight, 1))
+// compareWeightedClaims orders claims by the share wanted per unit of weight.
+func compareWeightedClaims(a, b Claim) int {
+	x := a.WantedShare / float64(max(a.Weight, 1))
+	y := b.WantedShare / float64(max(b.Weight, 1))
 	switch {
 	case x < y:
 		return -1
--- a/internal/scheduler/shares/shares_test.go
+++ b/internal/scheduler/shares/shares_test.go
@@ -24,7 +24,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			got := make([]float64, 0, len(tt.claims))
 			for _, target := range Targets(tt.claims, 1) {
-				got = append(got, target.Part)
+				got = append(got, target.Share)
 			}
 			require.InDeltaSlice(t, tt.want, got, 1e-9)
 		})
@@ -32,15 +32,15 @@
 }
 
 func TestShareLevelFollowsDominantResource(t *testing.T) {
-	b := NewBook()
+	b := NewAccounts()
 	b.SetCapacity(model.Resources{MilliCPU: 1000, MemoryMiB: 1000})
-	b.SetShare("a", 2)
-	b.SetElsewhere("a", model.Resources{MilliCPU: 100})
+	b.SetWeight("a", 2)
+	b.SetRemoteUsage("a", model.Resources{MilliCPU: 100})
 	b.Charge("a", model.Resources{MemoryMiB: 400})
-	require.InDelta(t, 0.4, b.Account("a").Dominant(), 1e-9)
+	require.InDelta(t, 0.4, b.Account("a").DominantShare(), 1e-9)
 	require.InDelta(t, 0.2, b.Account("a").Level(), 1e-9)
 	b.Refund("a", model.Resources{MemoryMiB: 350})
-	require.InDelta(t, 0.1, b.Account("a").Dominant(), 1e-9)
+	require.InDelta(t, 0.1, b.Account("a").DominantShare(), 1e-9)
 	b.SetCapacity(model.Resources{MilliCPU: 200, MemoryMiB: 1000})
-	require.InDelta(t, 0.5, b.Account("a").Dominant(), 1e-9)
+	require.InDelta(t, 0.5, b.Account("a").DominantShare(), 1e-9)
 }
--- a/internal/scheduler/shares_bench_test.go
+++ b/internal/scheduler/shares_bench_test.go
@@ -66,7 +66,7 @@
 	}
 	b.ReportMetric(100*float64(x.fails)/float64(x.starts), "failed-starts-%")
 	b.ReportMetric(float64(x.stops)/x.now.Seconds(), "stops/s")
-	b.ReportMetric(100*shares.Dominant(x.s.Fleet.Used(), x.s.Fleet.Capacity()), "used-%")
+	b.ReportMetric(100*shares.DominantShare(x.s.Fleet.Used(), x.s.Fleet.Capacity()), "used-%")
 	x.reportTrueUse(b)
 }
 
@@ -112,16 +112,16 @@
 	total := 0.0
 	for i := range claims {
 		a := x.book.Account(teamName(i))
-		wanted := a.Dominant()
+		wanted := a.DominantShare()
 		total += wanted
 		if x.wants(i) {
 			wanted = 1
 		}
-		claims[i] = shares.Claim{Team: a.Team, Weight: a.Weight(), Wanted: wanted}
+		claims[i] = shares.Claim{Team: a.Team, Weight: a.Weight(), WantedShare: wanted}
 	}
 	out := make(map[model.TeamID]float64, benchTeams)
 	for _, t := range shares.Targets(claims, total) {
-		out[t.Team] = t.Part
+		out[t.Team] = t.Share
 	}
 	return out
 }
@@ -134,7 +134,7 @@
 	}
 	out := make(map[model.TeamID]float64, benchTeams)
 	for _, t := range x.q.Rebalance() {
-		out[t.Team] = t.Part
+		out[t.Team] = t.Share
 	}
 	return out
 }
@@ -149,7 +149,7 @@
 			continue
 		}
 		a := x.book.Account(teamName(i))
-		distance := math.Abs(a.Dominant()-fair[a.Team]) / fair[a.Team]
+		distance := math.Abs(a.DominantShare()-fair[a.Team]) / fair[a.Team]
 		mean += distance
 		worst = max(worst, distance)
 		count++
@@ -172,6 +172,6 @@
 			overloaded++
 		}
 	}
-	b.ReportMetric(100*shares.Dominant(total, x.s.Fleet.Capacity()), "true-use-%")
+	b.ReportMetric(100*shares.DominantShare(total, x.s.Fleet.Capacity()), "true-use-%")
 	b.ReportMetric(100*float64(overloaded)/float64(len(x.s.Fleet.Nodes())), "overloaded-%")
 }
--- a/internal/scheduler/workload_test.go
+++ b/internal/scheduler/workload_test.go
@@ -138,7 +138,7 @@
 // fits is the feasibility check of the baselines. It keeps accelerators as the
 // scheduler does, so that all policies play by the same rules.
 func fits(t *model.Task, n *fleet.Node) bool {
-	return n.Schedulable() && t.Demand.Fits(n.Room(t.Demand, false)) && t.Require.Matches(n.Worker.Labels)
+	return n.Schedulable() && t.Demand.Fits(n.AvailableFor(t.Demand, false)) && t.Require.Matches(n.Worker.Labels)
 }
 
 type randomFeasible struct {
