--- a/internal/scheduler/estimates/estimates.go
+++ b/internal/scheduler/estimates/estimates.go
@@ -1,5 +1,5 @@
-// Package estimates learns the size and run time of work by team and kind from
-// what workers report, with the declared values as prior.
+// Package estimates estimates the demand and run time of tasks by team, kind and
+// service from the usage that workers report, with the declared values as prior.
 package estimates
 
 import (
@@ -11,28 +11,31 @@
 )
 
 const (
-	// priorWeight is the number of outcomes that the declared values are worth.
+	// priorWeight is the number of outcomes that weigh as much as the declared values.
 	priorWeight = 16
-	// windowSize is the number of outcomes after which the older half of what was
-	// learned is dropped.
+	// windowSize is the number of outcomes in a window. When the current window is full,
+	// the previous one is dropped.
 	windowSize = 512
-	// sizeQuantile and runTimeQuantile are the percentiles used.
+	// sizeQuantile and runTimeQuantile are the percentiles of the observed usage and run
+	// time that estimates are based on.
 	sizeQuantile    = 95
 	runTimeQuantile = 50
-	// headroom is added to a learned size, in percent.
-	headroom = 10
-	// maxFactor bounds how far an estimate may be from the declared size.
-	maxFactor = 4
-	// maxKeys bounds the kinds of work that are learned; the oldest go first.
+	// headroomPercent is added to a learned size.
+	headroomPercent = 10
+	// maxRatio is the maximum ratio of an estimate to the declared size, and of the
+	// declared size to an estimate.
+	maxRatio = 4
+	// maxKeys is the maximum number of keys with a record. The oldest record is deleted
+	// first.
 	maxKeys = 4096
 
 	significantDigits = 1
 	permille          = 1000
-	maxPermille       = 1 << 14 // of what was declared
+	maxPermille       = 1 << 14 // of the declared size
 	maxRunTimeMillis  = 1 << 32
 )
 
-// key names the work that is taken as alike.
+// key identifies tasks that are estimated together.
 type key struct {
 	team    model.TeamID
 	kind    model.Kind
@@ -41,22 +44,24 @@
 
 func keyOf(t *model.Task) key { return key{t.Team, t.Kind, t.Service} }
 
-// Estimator holds what was learned. It belongs to one goroutine.
+// Estimator estimates demand and run time from past outcomes. It belongs to one
+// goroutine.
 type Estimator struct {
 	records map[key]*record
-	order   []key
+	order   []key // in the order of the first outcome
 }
 
-// New returns an estimator that knows nothing.
+// New returns an Estimator without outcomes.
 func New() *Estimator { return &Estimator{records: make(map[key]*record)} }
 
-// record holds two windows: the current one and the one before.
+// record holds the outcomes of one key in two windows.
 type record struct {
 	current, previous window
 }
 
+// window holds at most windowSize outcomes.
 type window struct {
-	cpuPermille, memoryPermille *hdrhistogram.Histogram // used, in relation to declared
+	cpuPermille, memoryPermille *hdrhistogram.Histogram // usage in thousandths of the declared size
 	runTime                     *hdrhistogram.Histogram // in milliseconds
 }
 
@@ -68,9 +73,9 @@
 	}
 }
 
-// Observe learns from the outcome of a task that ran to its end; t carries the
-// declared demand, not one that Demand gave. Failed and
-// stopped tasks say nothing about size or run time.
+// Observe records the outcome of a task. t must have the declared demand, not one
+// that Demand returned. Failed and stopped tasks are ignored, because they are no
+// evidence about size or run time.
 func (e *Estimator) Observe(t *model.Task, o model.Outcome) {
 	if o.Failed || o.Stopped {
 		return
@@ -86,19 +91,20 @@
 	}
 }
 
-// recordRatio records what was used in relation to what was declared, so that
-// tasks of different sizes teach the same.
+// recordRatio records usage relative to the declared size, so that tasks of different
+// sizes can be compared.
 func recordRatio(h *hdrhistogram.Histogram, used, declared int64) {
 	if declared > 0 {
 		recordClipped(h, used*permille/declared)
 	}
 }
 
-// recordClipped records a value, clipped to what the histogram can hold.
+// recordClipped records a value, clipped to the range of the histogram.
 func recordClipped(h *hdrhistogram.Histogram, v int64) {
 	_ = h.RecordValue(min(max(v, 1), h.HighestTrackableValue()))
 }
 
+// record returns the record of a key and creates it if it doesn't exist.
 func (e *Estimator) record(k key) *record {
 	if r := e.records[k]; r != nil {
 		return r
@@ -113,17 +119,18 @@
 	return r
 }
 
-// Demand returns the size to commit for a task: the declared size, moved towards
-// what such tasks used. It never exceeds largest, what the largest worker has,
-// unless the declared size does. Slots and accelerators stay as declared.
+// Demand returns the resources to commit for a task: the declared demand, adjusted
+// towards the usage of earlier tasks. It never exceeds largest, the maximum worker
+// capacity in each dimension, unless the declared demand does. Slots and accelerators
+// stay as declared.
 func (e *Estimator) Demand(t *model.Task, largest model.Resources) model.Resources {
 	r := e.records[keyOf(t)]
 	if r == nil {
 		return t.Demand
 	}
 	out := t.Demand
-	out.MilliCPU = size(t.Demand.MilliCPU, largest.MilliCPU, r.current.cpuPermille, r.previous.cpuPermille)
-	out.MemoryMiB = size(t.Demand.MemoryMiB, largest.MemoryMiB, r.current.memoryPermille, r.previous.memoryPermille)
+	out.MilliCPU = estimateSize(t.Demand.MilliCPU, largest.MilliCPU, r.current.cpuPermille, r.previous.cpuPermille)
+	out.MemoryMiB = estimateSize(t.Demand.MemoryMiB, largest.MemoryMiB, r.current.memoryPermille, r.previous.memoryPermille)
 	return out
 }
 
@@ -133,28 +140,29 @@
 	if r == nil {
 		return t.RunTime
 	}
-	learned, count := learn(runTimeQuantile, r.current.runTime, r.previous.runTime)
+	learned, count := weightedQuantile(runTimeQuantile, r.current.runTime, r.previous.runTime)
 	if t.RunTime == 0 && count > 0 {
 		return time.Duration(learned) * time.Millisecond
 	}
 	return time.Duration(blend(t.RunTime.Milliseconds(), learned, count)) * time.Millisecond
 }
 
-// size blends a declared with a learned size.
-func size(declared, largest int64, windows ...*hdrhistogram.Histogram) int64 {
+// estimateSize blends a declared size with the learned one, within the limits of
+// maxRatio and largest.
+func estimateSize(declared, largest int64, windows ...*hdrhistogram.Histogram) int64 {
 	if declared == 0 {
 		return 0
 	}
-	ratio, count := learn(sizeQuantile, windows...)
+	ratio, count := weightedQuantile(sizeQuantile, windows...)
 	learned := declared * ratio / permille
-	out := blend(declared, learned+learned*headroom/100, count)
-	out = min(max(out, declared/maxFactor), declared*maxFactor)
+	out := blend(declared, learned+learned*headroomPercent/100, count)
+	out = min(max(out, declared/maxRatio), declared*maxRatio)
 	return min(out, max(largest, declared))
 }
 
-// learn returns the quantile of all windows, weighted by their counts, and the
-// number of values.
-func learn(quantile float64, windows ...*hdrhistogram.Histogram) (value, count int64) {
+// weightedQuantile returns the mean of the windows' quantiles, weighted by their
+// numbers of values, and the total number of values. quantile is in percent.
+func weightedQuantile(quantile float64, windows ...*hdrhistogram.Histogram) (value, count int64) {
 	var sum int64
 	for _, h := range windows {
 		n := h.TotalCount()
@@ -167,6 +175,8 @@
 	return sum / count, count
 }
 
+// blend returns the mean of a declared value, weighted by priorWeight, and a learned
+// one, weighted by the number of its outcomes.
 func blend(declared, learned, count int64) int64 {
 	return (declared*priorWeight + learned*count) / (priorWeight + count)
 }
--- a/internal/scheduler/quarantine/jobs.go
+++ b/internal/scheduler/quarantine/jobs.go
@@ -3,19 +3,21 @@
 import "pollenbend/internal/model"
 
 const (
-	// maxJobs bounds the jobs whose record is kept; the oldest are forgotten.
+	// maxJobs is the maximum number of jobs with a record. The oldest record is
+	// deleted first.
 	maxJobs = 8192
-	// maxWorkersByJob bounds the workers kept in one job's record.
+	// maxWorkersByJob is the maximum number of workers in one job's record.
 	maxWorkersByJob = 32
-	// maxJobsByWorker bounds the jobs counted once against one worker.
+	// maxJobsByWorker is the maximum number of jobs that count once against a worker.
 	maxJobsByWorker = 32
-	// priorRate and priorWeight stand for what is assumed of an unknown job: the
-	// rate at which it fails and the number of workers that is worth.
+	// priorRate is the assumed failure rate of an unknown job, priorWeight the number
+	// of workers whose outcomes this assumption is worth.
 	priorRate   = 0.1
 	priorWeight = 2
 )
 
-// jobKey names what is compared between workers: a job, or a service of a team.
+// jobKey identifies what is compared between workers: a job, or, for tasks without a
+// job, a team's service.
 type jobKey struct {
 	team    model.TeamID
 	job     model.JobID
@@ -29,20 +31,23 @@
 	return jobKey{team: t.Team, service: t.Service}
 }
 
-// jobRecord holds the last outcome of a job on each of some workers. Each worker
-// counts once, so one that fails fast doesn't spoil the record.
+// jobRecord holds the last outcome of a job on each of the last workers that ran it.
+// Each worker counts once, because a broken one that fails fast would otherwise
+// dominate the failure rate.
 type jobRecord struct {
 	workers [maxWorkersByJob]outcome
-	size    int
-	next    int
+	size    int // used entries of workers
+	next    int // entry to overwrite next when all are used
 }
 
+// outcome is the last outcome of a job on a worker.
 type outcome struct {
 	worker model.WorkerID
 	failed bool
 }
 
-func (j *jobRecord) note(worker model.WorkerID, failed bool) {
+// setOutcome records the last outcome on a worker.
+func (j *jobRecord) setOutcome(worker model.WorkerID, failed bool) {
 	for i := range j.size {
 		if j.workers[i].worker == worker {
 			j.workers[i].failed = failed
@@ -58,7 +63,7 @@
 	j.next = (j.next + 1) % maxWorkersByJob
 }
 
-// failureRate returns how often the job fails on workers other than one, and
+// failureRate returns the job's failure rate on all recorded workers but except, and
 // whether it has succeeded on any of them.
 func (j *jobRecord) failureRate(except model.WorkerID) (rate float64, succeeded bool) {
 	tried, failed := 0, 0
@@ -75,14 +80,15 @@
 	return rate, failed < tried
 }
 
-// jobTable keeps the records of the jobs seen last.
+// jobTable keeps the records of at most maxJobs jobs.
 type jobTable struct {
 	records map[jobKey]*jobRecord
-	order   []jobKey
+	order   []jobKey // in the order of the first outcome
 }
 
 func newJobTable() *jobTable { return &jobTable{records: make(map[jobKey]*jobRecord)} }
 
+// get returns a job's record and creates it if it doesn't exist.
 func (t *jobTable) get(key jobKey) *jobRecord {
 	if r := t.records[key]; r != nil {
 		return r
--- a/internal/scheduler/quarantine/quarantine.go
+++ b/internal/scheduler/quarantine/quarantine.go
@@ -1,7 +1,7 @@
-// Package quarantine puts workers aside that fail what other workers run. Each
-// outcome is weighed against the job's own record on other workers, so that a job
-// that fails everywhere condemns nobody. A worker put aside is tried again later,
-// one task at a time.
+// Package quarantine keeps new work away from workers that fail tasks which other
+// workers run. Each outcome is weighed against the job's failure rate on other
+// workers, so that a job that fails everywhere doesn't count against its workers. A
+// quarantined worker later goes on probation, with one task at a time.
 package quarantine
 
 import (
@@ -14,52 +14,53 @@
 )
 
 const (
-	// threshold is the evidence, as a logarithm of a likelihood ratio, at which a
-	// worker is put aside.
-	threshold = 15.0
-	// badRate is how often a broken worker fails.
-	badRate = 0.95
-	// maxPart is the part of the fleet that may be aside at one time.
-	maxPart = 0.05
-	// firstStay is the length of the first quarantine; each further one is twice
-	// as long, up to maxStay.
-	firstStay = time.Minute
-	maxStay   = time.Hour
-	// probationSuccesses end a probation.
+	// evidenceThreshold is the log-likelihood ratio of a broken to a healthy worker at
+	// which a worker is quarantined.
+	evidenceThreshold = 15.0
+	// brokenFailureRate is the assumed failure rate of tasks on a broken worker.
+	brokenFailureRate = 0.95
+	// maxQuarantinedRatio is the share of the fleet that may be in quarantine at once.
+	maxQuarantinedRatio = 0.05
+	// firstDuration is the length of a worker's first quarantine. Each further one is
+	// twice as long as the one before, up to maxDuration.
+	firstDuration = time.Minute
+	maxDuration   = time.Hour
+	// probationSuccesses is the number of successful tasks that end a probation.
 	probationSuccesses = 3
-	// forgiveAfter is the time without a new quarantine after which the next one
-	// is short again.
-	forgiveAfter = 6 * time.Hour
+	// backoffResetDelay is the time since the start of the last quarantine after which
+	// the next one lasts firstDuration again.
+	backoffResetDelay = 6 * time.Hour
 )
 
-// record is the evidence against one worker.
+// record holds the evidence against one worker and the state of its quarantine.
 type record struct {
-	worker    model.WorkerID
-	evidence  float64
-	byJob     map[jobKey]float64 // evidence of jobs that succeeded nowhere yet
-	aside     bool
-	probation bool
-	successes int
-	stays     int
-	since     time.Duration // of the last quarantine
-	until     time.Duration
+	worker        model.WorkerID
+	evidence      float64            // sum of log-likelihood ratios, at least 0
+	byJob         map[jobKey]float64 // evidence from jobs that have succeeded on no other worker
+	quarantined   bool
+	probation     bool
+	successes     int           // in the current probation
+	quarantines   int           // since the last reset of the backoff
+	quarantinedAt time.Duration // start of the last quarantine
+	until         time.Duration // end of the last quarantine
 }
 
-// Keeper watches outcomes and puts workers aside in a fleet.
+// Keeper observes the outcomes of tasks and quarantines workers of a fleet.
 type Keeper struct {
-	fleet   *fleet.Fleet
-	records map[model.WorkerID]*record
-	aside   []*record // in the order put aside
-	jobs    *jobTable
+	fleet       *fleet.Fleet
+	records     map[model.WorkerID]*record
+	quarantined []*record // in the order of their quarantine
+	jobs        *jobTable
 }
 
-// New returns a keeper for a fleet.
+// New returns a Keeper for a fleet.
 func New(f *fleet.Fleet) *Keeper {
 	return &Keeper{fleet: f, records: make(map[model.WorkerID]*record), jobs: newJobTable()}
 }
 
-// Observe notes the outcome of a task that ran to its end. Tasks that were
-// stopped say nothing about a worker. It reports whether the worker was put aside.
+// Observe records the outcome of a task that ran to its end and reports whether the
+// worker was quarantined for it. The caller leaves out tasks that were stopped,
+// because these are no evidence about a worker.
 func (k *Keeper) Observe(now time.Duration, worker model.WorkerID, t *model.Task, failed bool) bool {
 	key := keyOf(t)
 	job := k.jobs.get(key)
@@ -69,21 +70,21 @@
 	} else {
 		k.addSuccess(r, job)
 	}
-	job.note(worker, failed)
+	job.setOutcome(worker, failed)
 	if r.probation {
-		return k.judgeProbation(now, r, failed)
+		return k.updateProbation(now, r, failed)
 	}
-	if r.evidence < threshold || r.aside {
+	if r.evidence < evidenceThreshold || r.quarantined {
 		return false
 	}
-	return k.putAside(now, r)
+	return k.quarantine(now, r)
 }
 
-// addFailure adds evidence. A job that has succeeded on no other worker adds to
-// it once only.
+// addFailure adds evidence. A job that has succeeded on no other worker counts only
+// once against a worker.
 func (k *Keeper) addFailure(r *record, key jobKey, job *jobRecord) {
 	rate, succeeded := job.failureRate(r.worker)
-	weight := max(0, math.Log(badRate/rate))
+	weight := max(0, math.Log(brokenFailureRate/rate))
 	if succeeded {
 		r.evidence += weight
 		return
@@ -97,42 +98,44 @@
 	}
 }
 
-// addSuccess takes evidence away.
+// addSuccess reduces the evidence.
 func (k *Keeper) addSuccess(r *record, job *jobRecord) {
 	rate, _ := job.failureRate(r.worker)
-	r.evidence = max(0, r.evidence+math.Log((1-badRate)/(1-rate)))
+	r.evidence = max(0, r.evidence+math.Log((1-brokenFailureRate)/(1-rate)))
 	if r.evidence == 0 {
 		clear(r.byJob)
 	}
 }
 
-func (k *Keeper) putAside(now time.Duration, r *record) bool {
-	if k.fleet.Node(r.worker) == nil || len(k.aside) >= k.most() {
+// quarantine starts a quarantine. It returns false if the worker isn't in the fleet or
+// too many workers are in quarantine.
+func (k *Keeper) quarantine(now time.Duration, r *record) bool {
+	if k.fleet.Node(r.worker) == nil || len(k.quarantined) >= k.maxQuarantined() {
 		return false
 	}
-	if now-r.since >= forgiveAfter {
-		r.stays = 0
+	if now-r.quarantinedAt >= backoffResetDelay {
+		r.quarantines = 0
 	}
-	r.aside = true
+	r.quarantined = true
 	r.probation = false
-	r.since = now
-	r.until = now + min(firstStay<<min(r.stays, 16), maxStay)
-	r.stays++
-	k.aside = append(k.aside, r)
-	k.set(r, fleet.ReasonProbation, false)
-	k.set(r, fleet.ReasonQuarantined, true)
+	r.quarantinedAt = now
+	r.until = now + min(firstDuration<<min(r.quarantines, 16), maxDuration)
+	r.quarantines++
+	k.quarantined = append(k.quarantined, r)
+	k.setReason(r, fleet.ReasonProbation, false)
+	k.setReason(r, fleet.ReasonQuarantined, true)
 	return true
 }
 
-// most returns how many workers may be aside.
-func (k *Keeper) most() int {
-	return max(1, int(maxPart*float64(len(k.fleet.Nodes()))))
+// maxQuarantined returns how many workers may be in quarantine at once.
+func (k *Keeper) maxQuarantined() int {
+	return max(1, int(maxQuarantinedRatio*float64(len(k.fleet.Nodes()))))
 }
 
-// Tick starts the probation of workers whose quarantine is over, and forgets
-// workers that are gone.
+// Tick puts workers whose quarantine has ended on probation, and deletes the records
+// of quarantined workers that are no longer in the fleet.
 func (k *Keeper) Tick(now time.Duration) {
-	k.aside = slices.DeleteFunc(k.aside, func(r *record) bool {
+	k.quarantined = slices.DeleteFunc(k.quarantined, func(r *record) bool {
 		if k.fleet.Node(r.worker) == nil {
 			delete(k.records, r.worker)
 			return true
@@ -140,22 +143,23 @@
 		if now < r.until {
 			return false
 		}
-		r.aside = false
+		r.quarantined = false
 		r.probation = true
 		r.successes = 0
 		r.evidence = 0
 		clear(r.byJob)
-		k.set(r, fleet.ReasonQuarantined, false)
-		k.set(r, fleet.ReasonProbation, true)
+		k.setReason(r, fleet.ReasonQuarantined, false)
+		k.setReason(r, fleet.ReasonProbation, true)
 		return true
 	})
 }
 
-// judgeProbation ends a probation after enough successes, and puts the worker
-// aside again when a job fails there that others run.
-func (k *Keeper) judgeProbation(now time.Duration, r *record, failed bool) bool {
-	if failed && r.evidence >= threshold/2 {
-		return k.putAside(now, r)
+// updateProbation ends a probation after enough successes. It quarantines the worker
+// again, and returns true, when a task fails and the evidence is at least half of
+// evidenceThreshold: a job fails there that other workers run.
+func (k *Keeper) updateProbation(now time.Duration, r *record, failed bool) bool {
+	if failed && r.evidence >= evidenceThreshold/2 {
+		return k.quarantine(now, r)
 	}
 	if failed {
 		return false
@@ -163,19 +167,19 @@
 	r.successes++
 	if r.successes >= probationSuccesses {
 		r.probation = false
-		k.set(r, fleet.ReasonProbation, false)
+		k.setReason(r, fleet.ReasonProbation, false)
 	}
 	return false
 }
 
-// Forget drops what is known of a worker that is gone.
+// Forget deletes the record of a worker that was removed from the fleet.
 func (k *Keeper) Forget(worker model.WorkerID) {
 	delete(k.records, worker)
-	k.aside = slices.DeleteFunc(k.aside, func(r *record) bool { return r.worker == worker })
+	k.quarantined = slices.DeleteFunc(k.quarantined, func(r *record) bool { return r.worker == worker })
 }
 
-// Aside returns the number of workers in quarantine.
-func (k *Keeper) Aside() int { return len(k.aside) }
+// Quarantined returns the number of workers in quarantine.
+func (k *Keeper) Quarantined() int { return len(k.quarantined) }
 
 func (k *Keeper) record(worker model.WorkerID) *record {
 	r := k.records[worker]
@@ -186,7 +190,8 @@
 	return r
 }
 
-// set changes a reason. The worker may be gone, which is no fault.
-func (k *Keeper) set(r *record, reason fleet.Reason, on bool) {
+// setReason adds or removes a reason of the worker in the fleet. It ignores the error
+// for a worker that was removed.
+func (k *Keeper) setReason(r *record, reason fleet.Reason, on bool) {
 	_ = k.fleet.SetUnschedulable(r.worker, reason, on)
 }
--- a/internal/scheduler/quarantine/quarantine_test.go
+++ b/internal/scheduler/quarantine/quarantine_test.go
@@ -64,9 +64,9 @@
 	for i := range 5000 {
 		k.Observe(0, workerID(i%100), &model.Task{Job: "broken"}, true)
 	}
-	require.Zero(t, k.Aside())
+	require.Zero(t, k.Quarantined())
 	k.Observe(0, "w1", &model.Task{Job: "also broken"}, true)
-	require.Zero(t, k.Aside())
+	require.Zero(t, k.Quarantined())
 }
 
 func TestQuarantineIsBounded(t *testing.T) {
@@ -76,7 +76,7 @@
 		bad[workerID(i)] = true
 	}
 	k := run(f, bad, 20_000)
-	require.Equal(t, 5, k.Aside())
+	require.Equal(t, 5, k.Quarantined())
 }
 
 func TestQuarantineProbation(t *testing.T) {
@@ -92,16 +92,16 @@
 		require.NotZero(t, f.Node("w0").Reasons()&fleet.ReasonQuarantined)
 	}
 	condemn(0)
-	k.Tick(firstStay - 1)
+	k.Tick(firstDuration - 1)
 	require.False(t, f.Node("w0").Schedulable())
-	k.Tick(firstStay)
+	k.Tick(firstDuration)
 	require.Equal(t, fleet.ReasonProbation, f.Node("w0").Reasons())
-	condemn(firstStay)
-	k.Tick(2 * firstStay)
+	condemn(firstDuration)
+	k.Tick(2 * firstDuration)
 	require.False(t, f.Node("w0").Schedulable(), "the second stay is twice as long")
-	k.Tick(3 * firstStay)
+	k.Tick(3 * firstDuration)
 	for range probationSuccesses {
-		k.Observe(3*firstStay, "w0", good, false)
+		k.Observe(3*firstDuration, "w0", good, false)
 	}
 	require.Zero(t, f.Node("w0").Reasons())
 }
