--- a/internal/scheduler/fleet/selection.go
+++ b/internal/scheduler/fleet/selection.go
@@ -27,7 +27,7 @@
 	selector model.Selector
 	plain    []*WorkerClass // without accelerators
 	accel    []*WorkerClass
-	residual bool // some label isn't indexed and must be checked worker by worker
+	residual bool                       // some label isn't indexed and must be checked worker by worker
 	refusals map[model.Resources]uint64 // demands without a feasible worker, and the next sequence number of Fleet.freed then
 }
 
--- a/internal/scheduler/plugin/accelerators/accelerators.go
+++ b/internal/scheduler/plugin/accelerators/accelerators.go
@@ -1,5 +1,5 @@
-// Package accelerators keeps processors and memory of workers with accelerators
-// for work that needs these.
+// Package accelerators reserves processors and memory for tasks that need the free
+// accelerators of a worker.
 package accelerators
 
 import (
@@ -11,8 +11,8 @@
 // Name is the plugin's name in statuses.
 const Name = "accelerators"
 
-// Filter refuses work without accelerators on a worker whose remaining capacity
-// is the part of its free accelerators.
+// Filter refuses a task that needs no accelerator on a worker with accelerators if
+// the task would use capacity reserved for the free ones.
 type Filter struct{}
 
 // Name implements plugin.Filter.
--- a/internal/scheduler/plugin/bestfit/bestfit.go
+++ b/internal/scheduler/plugin/bestfit/bestfit.go
@@ -1,4 +1,5 @@
-// Package bestfit scores workers by how little a task leaves free on them.
+// Package bestfit scores workers for bin packing: the less capacity a task leaves
+// free, the higher the score.
 package bestfit
 
 import (
@@ -10,13 +11,15 @@
 // Name is the plugin's name.
 const Name = "best fit"
 
-// parts of the score for what is left and for how uneven it is left.
+// Weights in the score: of the remaining capacity, and of the imbalance between
+// remaining processors and memory.
 const (
-	leftPart   = 7000
-	unevenPart = plugin.MaxScore - leftPart
+	remainingWeight = 7000
+	imbalanceWeight = plugin.MaxScore - remainingWeight
 )
 
-// Scorer prefers workers that a task fills, evenly in processors and memory.
+// Scorer prefers workers that a task leaves with little remaining capacity and with
+// similar fractions of processors and memory.
 type Scorer struct{}
 
 // Name implements plugin.Scorer.
@@ -24,20 +27,21 @@
 
 // Score implements plugin.Scorer.
 func (Scorer) Score(s *plugin.State, t *model.Task, n *fleet.Node) int64 {
-	left := n.Free().Sub(t.Demand)
+	remaining := n.Free().Sub(t.Demand)
 	largest := s.Fleet.Largest()
-	cpu := part(left.MilliCPU, largest.MilliCPU)
-	memory := part(left.MemoryMiB, largest.MemoryMiB)
-	uneven := max(cpu-memory, memory-cpu)
-	return plugin.MaxScore - (leftPart*(cpu+memory)/2+unevenPart*uneven)/scale
+	cpu := fraction(remaining.MilliCPU, largest.MilliCPU)
+	memory := fraction(remaining.MemoryMiB, largest.MemoryMiB)
+	imbalance := max(cpu-memory, memory-cpu)
+	return plugin.MaxScore - (remainingWeight*(cpu+memory)/2+imbalanceWeight*imbalance)/fractionScale
 }
 
-// scale is the denominator of part.
-const scale = 1 << 16
+// fractionScale is the denominator of the results of fraction.
+const fractionScale = 1 << 16
 
-func part(left, largest int64) int64 {
+// fraction returns remaining as a fraction of largest, in units of 1/fractionScale.
+func fraction(remaining, largest int64) int64 {
 	if largest == 0 {
 		return 0
 	}
-	return left * scale / largest
+	return remaining * fractionScale / largest
 }
--- a/internal/scheduler/plugin/failures/failures.go
+++ b/internal/scheduler/plugin/failures/failures.go
@@ -1,5 +1,5 @@
-// Package failures keeps a job's tasks away from workers on which its tasks
-// failed a short time ago.
+// Package failures keeps a job's tasks away from workers on which its tasks failed
+// recently.
 package failures
 
 import (
@@ -14,13 +14,14 @@
 const Name = "failures"
 
 const (
-	// memory is how long a failure counts.
-	memory = 5 * time.Minute
-	// maxRecords bounds the failures kept.
+	// avoidWindow is the time after a failure during which the worker is avoided.
+	avoidWindow = 5 * time.Minute
+	// maxRecords is the maximum number of recorded failures.
 	maxRecords = 65536
 )
 
-type pair struct {
+// failureKey identifies a job and a worker on which it failed.
+type failureKey struct {
 	team   model.TeamID
 	job    model.JobID
 	worker model.WorkerID
@@ -28,19 +29,19 @@
 
 // Filter avoids workers on which the same job failed.
 type Filter struct {
-	last  map[pair]time.Duration
-	order []pair
+	last  map[failureKey]time.Duration // time of the last failure
+	order []failureKey                 // in the order of the first failure
 }
 
 // New returns a filter without failures.
-func New() *Filter { return &Filter{last: make(map[pair]time.Duration)} }
+func New() *Filter { return &Filter{last: make(map[failureKey]time.Duration)} }
 
 // Name implements plugin.Filter.
 func (*Filter) Name() string { return Name }
 
-// Record notes that a task failed on a worker.
+// Record records that a task failed on a worker.
 func (f *Filter) Record(now time.Duration, t *model.Task, worker model.WorkerID) {
-	key := pair{t.Team, t.Job, worker}
+	key := failureKey{t.Team, t.Job, worker}
 	if _, ok := f.last[key]; !ok {
 		f.order = append(f.order, key)
 	}
@@ -48,11 +49,12 @@
 	f.forget(now)
 }
 
-// forget drops the oldest records that no longer count or are too many.
+// forget deletes the records at the front of the order while they have expired or
+// there are more than maxRecords.
 func (f *Filter) forget(now time.Duration) {
 	for len(f.order) > 0 {
 		oldest := f.order[0]
-		if len(f.order) <= maxRecords && now-f.last[oldest] < memory {
+		if len(f.order) <= maxRecords && now-f.last[oldest] < avoidWindow {
 			return
 		}
 		delete(f.last, oldest)
@@ -65,8 +67,8 @@
 	if len(f.last) == 0 {
 		return plugin.Status{}
 	}
-	at, ok := f.last[pair{t.Team, t.Job, n.Worker.ID}]
-	if !ok || s.Now-at >= memory {
+	at, ok := f.last[failureKey{t.Team, t.Job, n.Worker.ID}]
+	if !ok || s.Now-at >= avoidWindow {
 		return plugin.Status{}
 	}
 	return plugin.Status{Code: plugin.Avoid, Plugin: Name, Reason: "the job failed there"}
--- a/internal/scheduler/plugin/plugin.go
+++ b/internal/scheduler/plugin/plugin.go
@@ -1,5 +1,5 @@
-// Package plugin defines the extension points of placement: small filters and
-// scorers that look at one task and one worker at a time.
+// Package plugin defines the extension points of placement: filter and score plugins
+// that evaluate one task on one worker at a time.
 package plugin
 
 import (
@@ -9,32 +9,32 @@
 	"pollenbend/internal/scheduler/fleet"
 )
 
-// Code is the kind of a Status.
+// Code is the result code of a plugin. Higher codes are worse.
 type Code uint8
 
 // Codes of a Status.
 const (
-	// OK means that the stage has nothing against the worker.
+	// OK means that the worker may take the task.
 	OK Code = iota
-	// Avoid means that the worker is taken only when no other is left.
+	// Avoid means that the worker should take the task only if no worker with OK is found.
 	Avoid
 	// Unfit means that the worker can't take the task now.
 	Unfit
-	// Impossible means that no worker could ever take the task.
+	// Impossible means that no worker could take the task even if it were empty.
 	Impossible
 )
 
-// Status is what a stage says, with its name and the reason.
+// Status is the result of a plugin. Reason is empty when Code is OK.
 type Status struct {
 	Code   Code
 	Plugin string
 	Reason string
 }
 
-// Success reports whether the status holds nothing against a worker.
+// Success reports whether the code is OK.
 func (s Status) Success() bool { return s.Code == OK }
 
-// String returns the plugin and its reason.
+// String returns "ok", or the plugin's name and the reason.
 func (s Status) String() string {
 	if s.Success() {
 		return "ok"
@@ -42,20 +42,20 @@
 	return s.Plugin + ": " + s.Reason
 }
 
-// State is what the stages of one decision share.
+// State is the input shared by all plugins in one decision.
 type State struct {
-	Now    time.Duration
+	Now    time.Duration // the caller's clock
 	Fleet  *fleet.Fleet
 	Search *fleet.Search
 }
 
-// Filter says whether a worker may take a task.
+// Filter decides whether a worker may take a task.
 type Filter interface {
 	Name() string
 	Filter(s *State, t *model.Task, n *fleet.Node) Status
 }
 
-// MaxScore is the highest score that a Scorer gives.
+// MaxScore is the maximum score of a Scorer.
 const MaxScore = 10000
 
 // Scorer rates a worker that may take a task, from 0 to MaxScore.
@@ -64,7 +64,7 @@
 	Score(s *State, t *model.Task, n *fleet.Node) int64
 }
 
-// WeightedScorer is a scorer and the factor of its score in the sum.
+// WeightedScorer is a scorer and the weight of its score in a worker's total score.
 type WeightedScorer struct {
 	Scorer
 	Weight int64
--- a/internal/scheduler/plugin/preference/preference.go
+++ b/internal/scheduler/plugin/preference/preference.go
@@ -10,7 +10,7 @@
 // Name is the plugin's name.
 const Name = "preference"
 
-// Scorer gives each worker the weighted part of the preferences that it meets.
+// Scorer scores a worker by the weighted fraction of the preferences that it meets.
 type Scorer struct{}
 
 // Name implements plugin.Scorer.
--- a/internal/scheduler/plugin/resources/resources.go
+++ b/internal/scheduler/plugin/resources/resources.go
@@ -1,4 +1,4 @@
-// Package resources filters workers by free capacity.
+// Package resources filters workers by available capacity.
 package resources
 
 import (
@@ -10,7 +10,7 @@
 // Name is the plugin's name in statuses.
 const Name = "resources"
 
-// Filter refuses workers without room for the task's demand.
+// Filter refuses workers whose available capacity doesn't fit the task's demand.
 type Filter struct{}
 
 // Name implements plugin.Filter.
@@ -22,11 +22,12 @@
 	if t.Demand.Fits(free) {
 		return plugin.Status{}
 	}
-	return plugin.Status{Code: plugin.Unfit, Plugin: Name, Reason: short(t.Demand, free)}
+	return plugin.Status{Code: plugin.Unfit, Plugin: Name, Reason: missingResource(t.Demand, free)}
 }
 
-// short names the first dimension that is missing.
-func short(demand, free model.Resources) string {
+// missingResource returns the reason for the first dimension of which there is too
+// little.
+func missingResource(demand, free model.Resources) string {
 	switch {
 	case demand.Accelerators > free.Accelerators:
 		return "too few free accelerators"
--- a/internal/scheduler/plugin/schedulable/schedulable.go
+++ b/internal/scheduler/plugin/schedulable/schedulable.go
@@ -1,5 +1,5 @@
-// Package schedulable filters workers that take no new work: leaving ones, ones
-// whose lease isn't held, quarantined ones.
+// Package schedulable filters out workers that take no new work because they are
+// leaving, their lease isn't held, or they are quarantined.
 package schedulable
 
 import (
@@ -11,8 +11,8 @@
 // Name is the plugin's name in statuses.
 const Name = "schedulable"
 
-// Filter refuses workers that take no new work. A worker on probation takes one
-// task at a time, and no urgent one.
+// Filter refuses unschedulable workers. On probation a worker takes one task at a
+// time, and is avoided for tasks that are urgent or may not run again.
 type Filter struct{}
 
 // Name implements plugin.Filter.
@@ -35,6 +35,7 @@
 	return plugin.Status{}
 }
 
+// reason returns the reason why a worker is unschedulable.
 func reason(r fleet.Reason) string {
 	switch {
 	case r&fleet.ReasonLeaving != 0:
--- a/internal/scheduler/plugin/selector/selector.go
+++ b/internal/scheduler/plugin/selector/selector.go
@@ -1,4 +1,4 @@
-// Package selector filters workers by the task's required labels.
+// Package selector filters workers by the task's required selector.
 package selector
 
 import (
@@ -10,7 +10,7 @@
 // Name is the plugin's name in statuses.
 const Name = "selector"
 
-// Filter refuses workers whose labels don't meet the task's required selector.
+// Filter refuses workers whose labels don't match the task's required selector.
 type Filter struct{}
 
 // Name implements plugin.Filter.
--- a/internal/scheduler/plugin/spread/spread.go
+++ b/internal/scheduler/plugin/spread/spread.go
@@ -1,5 +1,5 @@
-// Package spread spreads the tasks of one job or service over racks or
-// availability zones.
+// Package spread implements spread constraints: it spreads the tasks of one job or
+// service over racks or availability zones.
 package spread
 
 import (
@@ -11,12 +11,13 @@
 // Name is the plugin's name in statuses.
 const Name = "spread"
 
-// maxSkew is the most tasks that a domain may have more than the emptiest one.
+// maxSkew is the maximum difference in tasks of the job between a domain and the one
+// with the fewest.
 const maxSkew = 1
 
-// Filter avoids domains that have more than their even part of the job's tasks.
-// It never refuses them, so that a lost availability zone doesn't stop a service
-// from being replaced elsewhere.
+// Filter avoids workers in domains where one more task of the job would exceed
+// maxSkew. It never refuses them, so that the tasks of a lost availability zone can be
+// replaced in the others.
 type Filter struct{}
 
 // Name implements plugin.Filter.
@@ -31,7 +32,7 @@
 	if counts == nil {
 		return plugin.Status{}
 	}
-	if domainCount(counts, t.SpreadBy, n)+1-fewest(s.Fleet, counts, t.SpreadBy) <= maxSkew {
+	if domainCount(counts, t.SpreadBy, n)+1-minDomainCount(s.Fleet, counts, t.SpreadBy) <= maxSkew {
 		return plugin.Status{}
 	}
 	return plugin.Status{Code: plugin.Avoid, Plugin: Name, Reason: "its " + t.SpreadBy + " has enough of the job"}
@@ -53,10 +54,11 @@
 	if counts == nil {
 		return plugin.MaxScore
 	}
-	near := counts.Zones[n.Zone()] + counts.Racks[n.Rack()]
-	return plugin.MaxScore - int64(plugin.MaxScore*near/(2*counts.Total))
+	inDomains := counts.Zones[n.Zone()] + counts.Racks[n.Rack()]
+	return plugin.MaxScore - int64(plugin.MaxScore*inDomains/(2*counts.Total))
 }
 
+// domainCount returns the number of the job's tasks in the worker's domain.
 func domainCount(counts *fleet.Spread, by string, n *fleet.Node) int {
 	if by == "rack" {
 		return counts.Racks[n.Rack()]
@@ -64,8 +66,9 @@
 	return counts.Zones[n.Zone()]
 }
 
-// fewest returns the number of the job's tasks in the emptiest domain.
-func fewest(f *fleet.Fleet, counts *fleet.Spread, by string) int {
+// minDomainCount returns the minimum number of the job's tasks over all domains of the
+// fleet.
+func minDomainCount(f *fleet.Fleet, counts *fleet.Spread, by string) int {
 	domains := counts.Zones
 	if by == "rack" {
 		domains = counts.Racks
@@ -73,9 +76,9 @@
 	if len(domains) < f.Domains(by) {
 		return 0
 	}
-	least := counts.Total
+	minimum := counts.Total
 	for _, n := range domains {
-		least = min(least, n)
+		minimum = min(minimum, n)
 	}
-	return least
+	return minimum
 }
--- a/internal/scheduler/plugin/zone/zone.go
+++ b/internal/scheduler/plugin/zone/zone.go
@@ -1,4 +1,4 @@
-// Package zone scores workers by their distance from the scheduler's instance.
+// Package zone scores workers by their distance from the instance that decides.
 package zone
 
 import (
@@ -10,8 +10,8 @@
 // Name is the plugin's name.
 const Name = "zone"
 
-// Scorer prefers workers near Home for short requests, whose callers wait for
-// the way there and back.
+// Scorer prefers workers near Home for requests, because their callers wait for the
+// network round trip.
 type Scorer struct {
 	Home model.Location
 }
@@ -24,11 +24,11 @@
 	if t.Kind != model.KindRequest {
 		return 0
 	}
-	at := n.Worker.Location
+	location := n.Worker.Location
 	switch {
-	case at.Region != z.Home.Region:
+	case location.Region != z.Home.Region:
 		return 0
-	case at.Zone != z.Home.Zone:
+	case location.Zone != z.Home.Zone:
 		return plugin.MaxScore / 2
 	}
 	return plugin.MaxScore
