--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -14,13 +14,13 @@
 
 var benchFleets = []int{48, 1200, 12000}
 
-// fill commits n tasks with the scheduler itself, whatever the policy under test,
-// since only the decisions after that are measured.
-func fill(b *testing.B, w *workload, p placer, n int) []model.TaskID {
+// fillFleet commits n tasks. It places them with the scheduler whatever the policy under
+// test, since only the decisions after that are measured.
+func fillFleet(b *testing.B, w *workload, p placer, n int) []model.TaskID {
 	b.Helper()
 	running := make([]model.TaskID, 0, n)
-	filler := sampled{New(Config{Seed: benchSeed})}
-	if s, ok := p.(sampled); ok {
+	filler := sampledPlacer{New(Config{Seed: benchSeed})}
+	if s, ok := p.(sampledPlacer); ok {
 		filler = s
 	} else {
 		filler.Fleet = p.ledger()
@@ -35,8 +35,8 @@
 	return running
 }
 
-// BenchmarkPlace measures decisions on a fleet at work: a task ends, another is
-// decided and committed. At load "full" more tasks are offered than fit.
+// BenchmarkPlace measures decisions on a busy fleet: one task ends, another is placed and
+// committed. At load "full" more tasks are offered than fit.
 func BenchmarkPlace(b *testing.B) {
 	for _, workers := range benchFleets {
 		for _, load := range []string{"usual", "full"} {
@@ -56,7 +56,7 @@
 	if load == "full" {
 		tasks = tasks * 3 / 2
 	}
-	running := fill(b, w, p, tasks)
+	running := fillFleet(b, w, p, tasks)
 	rng := rand.New(rand.NewPCG(benchSeed, 3))
 	latencies := hdrhistogram.New(1, int64(time.Second), 3)
 	placed := 0
@@ -95,8 +95,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkPlacePacking fills an empty fleet until the first task that would fit in total
-// can't be placed, and reports the part of the processors then in use.
+// BenchmarkPlacePacking fills an empty fleet until the first task that can't be placed,
+// and reports the percentage of processors in use then.
 func BenchmarkPlacePacking(b *testing.B) {
 	for _, workers := range benchFleets {
 		for _, name := range policyNames {
@@ -104,7 +104,7 @@
 				used := 0.0
 				rounds := 0
 				for b.Loop() {
-					used += pack(workers, name, benchSeed+uint64(rounds))
+					used += packFleet(workers, name, benchSeed+uint64(rounds))
 					rounds++
 				}
 				b.ReportMetric(100*used/float64(rounds), "%used")
@@ -113,14 +113,14 @@
 	}
 }
 
-func pack(workers int, name string, seed uint64) float64 {
+func packFleet(workers int, name string, seed uint64) float64 {
 	w := newWorkload(seed)
 	p := policies(workers)[name]
 	for {
 		t := w.plainNext()
 		n := p.place(t)
 		if n == nil {
-			return usedPart(p)
+			return usedCPURatio(p)
 		}
 		if err := p.ledger().Assume(0, t, n.Worker.ID); err != nil {
 			panic(err)
@@ -128,14 +128,15 @@
 	}
 }
 
-// usedPart leaves workers with accelerators out: the work that is packed needs none.
-func usedPart(p placer) float64 {
-	var used, has int64
+// usedCPURatio returns the fraction of processors in use on workers without
+// accelerators. It leaves out the others, because the tasks that are packed need none.
+func usedCPURatio(p placer) float64 {
+	var used, capacity int64
 	for _, n := range p.ledger().Nodes() {
 		if n.Worker.Capacity.Accelerators == 0 {
 			used += n.Used().MilliCPU
-			has += n.Worker.Capacity.MilliCPU
+			capacity += n.Worker.Capacity.MilliCPU
 		}
 	}
-	return float64(used) / float64(has)
+	return float64(used) / float64(capacity)
 }
--- a/internal/scheduler/estimates/estimates_test.go
+++ b/internal/scheduler/estimates/estimates_test.go
@@ -49,8 +49,8 @@
 	e := New()
 	observe(e, 400, model.Resources{MilliCPU: 12000, MemoryMiB: 1e6}, time.Second)
 	got := e.Demand(declared, largest)
-	require.Equal(t, int64(4000), got.MilliCPU, "at most four times what was declared")
-	require.Equal(t, largest.MemoryMiB, got.MemoryMiB, "no more than the largest worker has")
+	require.Equal(t, int64(4000), got.MilliCPU, "at most four times the declared size")
+	require.Equal(t, largest.MemoryMiB, got.MemoryMiB, "at most the capacity of the largest worker")
 }
 
 func TestEstimateForgetsOldUsage(t *testing.T) {
--- a/internal/scheduler/example_test.go
+++ b/internal/scheduler/example_test.go
@@ -10,7 +10,7 @@
 )
 
 func Example() {
-	const now = 5 * time.Second // since the instance began
+	const now = 5 * time.Second // since the instance started
 	s := scheduler.New(scheduler.Config{Seed: 1})
 	q := queue.New(queue.Config{})
 	s.Fleet.Upsert(model.Worker{ID: "w1", Capacity: model.Resources{MilliCPU: 4000}})
--- a/internal/scheduler/experiment_test.go
+++ b/internal/scheduler/experiment_test.go
@@ -15,34 +15,34 @@
 	"pollenbend/internal/scheduler/shares"
 )
 
-// Run times in the experiments.
+// Run times and delays in the experiments.
 const (
-	batchRunTime    = 134 * time.Second
-	serviceRunTime  = time.Hour
-	requestRunTime  = 5 * time.Second
-	failTime        = 500 * time.Millisecond // of a task on a broken worker
-	minStop         = 200 * time.Millisecond // from a stop command to its end
-	maxStop         = time.Second
-	tick            = 20 * time.Millisecond
-	holdTime        = 5 * time.Second
-	reclaimsPerTick = 20                     // plans to take back a share
-	retryPreempt    = 500 * time.Millisecond // after no victims were found for a team
+	batchRunTime       = 134 * time.Second
+	serviceRunTime     = time.Hour
+	requestRunTime     = 5 * time.Second
+	brokenRunTime      = 500 * time.Millisecond // of any task on a broken worker
+	minStopDelay       = 200 * time.Millisecond // from a stop command to the end of the task
+	maxStopDelay       = time.Second
+	tick               = 20 * time.Millisecond
+	holdDuration       = 5 * time.Second
+	maxReclaimsPerTick = 20                     // preemption plans for teams below their share
+	preemptRetryDelay  = 500 * time.Millisecond // after a plan for a team found no victims
 )
 
-// options choose what takes part in an experiment.
+// options selects the features and faults of an experiment.
 type options struct {
-	workers     int
-	noCeiling   bool // shares order the queue, but nothing bounds a team
-	fifo        bool // baseline: one queue for all teams
-	reclaim     bool // stop work of teams above their share for teams below
-	wrongSizes  bool // true sizes differ from declared ones by up to 4 times
-	estimates   bool
-	brokenEvery int // one worker in so many fails everything; 0 for none
-	quarantine  bool
+	workers          int
+	noCeiling        bool // shares order the queue, but teams have no ceilings
+	fifo             bool // baseline: one FIFO queue for all teams
+	reclaim          bool // preempt teams above their fair share for teams below
+	wrongSizes       bool // actual usage differs from the declared demand by up to 4 times
+	estimates        bool
+	workersPerBroken int // one in this many workers fails every task; 0 for none
+	quarantine       bool
 }
 
-// truth is what only the experiment knows of a task.
-type truth struct {
+// taskProfile holds the actual properties of a task, which the scheduler doesn't know.
+type taskProfile struct {
 	team      model.TeamID
 	runTime   time.Duration
 	usage     model.Resources
@@ -50,52 +50,52 @@
 	declared  model.Resources
 }
 
-type ending struct {
+type taskEnd struct {
 	at   time.Duration
 	task model.TaskID
 	stop bool
 }
 
-type endings []ending
+type taskEndHeap []taskEnd
 
-func (e endings) Len() int           { return len(e) }
-func (e endings) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e endings) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *endings) Push(x any)        { *e = append(*e, x.(ending)) }
-func (e *endings) Pop() any {
+func (e taskEndHeap) Len() int           { return len(e) }
+func (e taskEndHeap) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e taskEndHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *taskEndHeap) Push(x any)        { *e = append(*e, x.(taskEnd)) }
+func (e *taskEndHeap) Pop() any {
 	last := len(*e) - 1
 	out := (*e)[last]
 	*e = (*e)[:last]
 	return out
 }
 
-// experiment plays arrivals and ends of tasks in virtual time on the scheduler.
+// experiment simulates arrivals and ends of tasks on the scheduler in virtual time.
 type experiment struct {
 	options
 	s            *Scheduler
 	q            *queue.Queue
 	planner      *preempt.Planner
 	keeper       *quarantine.Keeper
-	learned      *estimates.Estimator
-	book         *shares.Accounts // by true team, whatever the queue sees
+	estimator    *estimates.Estimator
+	accounts     *shares.Accounts // by the actual team, also when the queue has one team only
 	w            *workload
 	rng          *rand.Rand
 	now          time.Duration
-	ends         endings
-	truths       map[model.TaskID]truth
+	ends         taskEndHeap
+	profiles     map[model.TaskID]taskProfile
 	broken       map[model.WorkerID]bool
 	pending      map[model.TeamID]model.Resources // of parked tasks
 	targets      map[model.TeamID]float64
-	retry        map[model.TeamID]time.Duration
+	retryAt      map[model.TeamID]time.Duration
 	parkedDemand map[model.TaskID]parked
 	started      func(t *model.Task, waited time.Duration)
 	starts       int
 	reclaims     int
-	fails        int
-	stops        int
+	failedStarts int
+	preemptions  int
 }
 
-// parked is what a parked task counts for.
+// parked is the contribution of a parked task to pending.
 type parked struct {
 	team   model.TeamID
 	demand model.Resources
@@ -109,13 +109,13 @@
 		s:            New(Config{Seed: benchSeed}),
 		q:            queue.New(queue.Config{MaxWaiting: 1 << 30}),
 		planner:      preempt.New(benchSeed),
-		learned:      estimates.New(),
-		book:         shares.NewAccounts(),
+		estimator:    estimates.New(),
+		accounts:     shares.NewAccounts(),
 		w:            newWorkload(benchSeed),
 		rng:          rand.New(rand.NewPCG(benchSeed, 4)),
-		truths:       make(map[model.TaskID]truth),
+		profiles:     make(map[model.TaskID]taskProfile),
 		broken:       make(map[model.WorkerID]bool),
-		retry:        make(map[model.TeamID]time.Duration),
+		retryAt:      make(map[model.TeamID]time.Duration),
 		parkedDemand: make(map[model.TaskID]parked),
 		pending:      make(map[model.TeamID]model.Resources),
 		started:      func(*model.Task, time.Duration) {},
@@ -124,25 +124,25 @@
 	for i, w := range benchWorkers(o.workers) {
 		w.Capacity.Accelerators = 0
 		x.s.Fleet.Upsert(w)
-		if o.brokenEvery > 0 && i%o.brokenEvery == 11 {
+		if o.workersPerBroken > 0 && i%o.workersPerBroken == 11 {
 			x.broken[w.ID] = true
 		}
 	}
 	x.q.SetCapacity(x.s.Fleet.Capacity())
-	x.book.SetCapacity(x.s.Fleet.Capacity())
+	x.accounts.SetCapacity(x.s.Fleet.Capacity())
 	for i := range benchTeams {
 		x.q.SetShare(teamName(i), weightOf(i))
-		x.book.SetWeight(teamName(i), weightOf(i))
+		x.accounts.SetWeight(teamName(i), weightOf(i))
 	}
 	return x
 }
 
 func teamName(i int) model.TeamID { return model.TeamID("team" + strconv.Itoa(i)) }
 
-// weightOf gives teams shares from 1 to 5.
+// weightOf returns a team's weight, from 1 to 5.
 func weightOf(i int) int64 { return int64(1 + i%5) }
 
-// submit adds a task of a template to the queue.
+// submit draws a task's actual properties and pushes it.
 func (x *experiment) submit(t *model.Task) {
 	runTime := batchRunTime
 	switch {
@@ -151,7 +151,7 @@
 	case t.Kind == model.KindService:
 		runTime = serviceRunTime
 	}
-	known := truth{
+	known := taskProfile{
 		team:      t.Team,
 		runTime:   time.Duration(x.rng.ExpFloat64() * float64(runTime)),
 		usage:     x.trueSize(t),
@@ -162,21 +162,21 @@
 	x.push(t, known)
 }
 
-func (x *experiment) push(t *model.Task, known truth) {
+func (x *experiment) push(t *model.Task, known taskProfile) {
 	if x.options.estimates {
-		t.Demand = x.learned.Demand(t, x.s.Fleet.Largest())
+		t.Demand = x.estimator.Demand(t, x.s.Fleet.Largest())
 	}
 	if x.fifo {
 		t.Team = fifoTeam
 	}
-	x.truths[t.ID] = known
+	x.profiles[t.ID] = known
 	if err := x.q.Push(t); err != nil {
 		panic(err)
 	}
 }
 
-// trueSize is what a task really uses: its declared size times a factor from a
-// quarter to four that belongs to its team and kind, give or take a tenth.
+// trueSize returns a task's actual usage: its declared size times a factor from 1/4 to
+// 4 that depends on its team and kind, with a random error of up to a tenth.
 func (x *experiment) trueSize(t *model.Task) model.Resources {
 	if !x.wrongSizes {
 		return t.Demand
@@ -198,11 +198,11 @@
 	return h
 }
 
-// advance plays one tick: ends, then decisions.
+// advance simulates one tick: ends of tasks, then decisions.
 func (x *experiment) advance() {
 	x.now += tick
 	for len(x.ends) > 0 && x.ends[0].at <= x.now {
-		x.end(heap.Pop(&x.ends).(ending))
+		x.end(heap.Pop(&x.ends).(taskEnd))
 	}
 	for _, id := range x.s.Fleet.ExpireHolds(x.now) {
 		x.unpark(id)
@@ -221,51 +221,52 @@
 			x.start(t, n)
 			continue
 		}
-		if !x.makeRoom(t) {
+		if !x.tryPreempt(t) {
 			x.q.Defer(t)
 		}
 	}
 }
 
 func (x *experiment) start(t *model.Task, n *fleet.Node) {
-	known := x.truths[t.ID]
+	known := x.profiles[t.ID]
 	x.q.Started(t)
-	x.book.Charge(known.team, t.Demand)
+	x.accounts.Charge(known.team, t.Demand)
 	x.starts++
 	x.started(t, x.now-known.submitted)
 	end := x.now + known.runTime
 	if x.broken[n.Worker.ID] {
-		end = x.now + failTime
+		end = x.now + brokenRunTime
 	}
-	heap.Push(&x.ends, ending{at: end, task: t.ID})
+	heap.Push(&x.ends, taskEnd{at: end, task: t.ID})
 }
 
-// makeRoom stops other work for a task, if there is reason to, and parks it.
-func (x *experiment) makeRoom(t *model.Task) bool {
+// tryPreempt preempts other work for a task that is urgent or whose team stays within
+// its target, and parks the task.
+func (x *experiment) tryPreempt(t *model.Task) bool {
 	switch {
 	case t.Class == model.ClassUrgent:
 		return x.preempt(t, preempt.ForUrgent)
-	case !x.below(t):
+	case !x.belowTarget(t):
 		return false
-	case x.reclaim && x.reclaims < reclaimsPerTick && x.now >= x.retry[t.Team]:
+	case x.reclaim && x.reclaims < maxReclaimsPerTick && x.now >= x.retryAt[t.Team]:
 		x.reclaims++
-		if x.preempt(t, preempt.ForShare(x.book, x.targets)) {
+		if x.preempt(t, preempt.ForShare(x.accounts, x.targets)) {
 			return true
 		}
-		x.retry[t.Team] = x.now + retryPreempt
+		x.retryAt[t.Team] = x.now + preemptRetryDelay
 	}
 	return false
 }
 
 func (x *experiment) preempt(t *model.Task, eligible preempt.Eligible) bool {
 	plan, status := x.planner.Plan(x.now, x.s.Fleet, t, eligible)
-	if !status.Success() || x.planner.Apply(x.now, x.s.Fleet, t, plan, x.now+holdTime) != nil {
+	if !status.Success() || x.planner.Apply(x.now, x.s.Fleet, t, plan, x.now+holdDuration) != nil {
 		return false
 	}
 	for _, v := range plan.Victims {
-		x.stops++
-		delay := minStop + time.Duration(x.rng.Int64N(int64(maxStop-minStop)))
-		heap.Push(&x.ends, ending{at: x.now + delay, task: v.Task, stop: true})
+		x.preemptions++
+		delay := minStopDelay + time.Duration(x.rng.Int64N(int64(maxStopDelay-minStopDelay)))
+		heap.Push(&x.ends, taskEnd{at: x.now + delay, task: v.Task, stop: true})
 	}
 	x.park(t)
 	if len(plan.Victims) == 0 {
@@ -280,10 +281,10 @@
 	x.q.Park(t)
 }
 
-// below reports whether a team stays within its target with one more task.
-func (x *experiment) below(t *model.Task) bool {
-	usage := x.book.Account(t.Team).Usage().Add(x.pending[t.Team]).Add(t.Demand)
-	return shares.DominantShare(usage, x.book.Capacity()) <= x.targets[t.Team]
+// belowTarget reports whether a team would stay within its target with task t.
+func (x *experiment) belowTarget(t *model.Task) bool {
+	usage := x.accounts.Account(t.Team).Usage().Add(x.pending[t.Team]).Add(t.Demand)
+	return shares.DominantShare(usage, x.accounts.Capacity()) <= x.targets[t.Team]
 }
 
 func (x *experiment) unpark(id model.TaskID) {
@@ -293,7 +294,7 @@
 	x.q.Unpark(id)
 }
 
-// unparkFitting lets tasks be tried again for which a worker has room now.
+// unparkFitting unparks the tasks whose hold on a worker fits its capacity now.
 func (x *experiment) unparkFitting(n *fleet.Node) {
 	for _, id := range x.s.Fleet.HoldsOn(n) {
 		h, _ := x.s.Fleet.HoldOf(id)
@@ -303,22 +304,22 @@
 	}
 }
 
-func (x *experiment) end(e ending) {
+func (x *experiment) end(e taskEnd) {
 	a := x.s.Fleet.Allocation(e.task)
 	if a == nil || e.stop && !a.Stopping {
-		return // it ended before
+		return // the task ended before
 	}
 	x.s.Fleet.Release(e.task)
 	x.q.Ended(a.Task)
-	known := x.truths[e.task]
-	delete(x.truths, e.task)
-	x.book.Refund(known.team, a.Task.Demand)
+	known := x.profiles[e.task]
+	delete(x.profiles, e.task)
+	x.accounts.Refund(known.team, a.Task.Demand)
 	x.unparkFitting(a.Node)
 	x.q.Wake(a.Node.Available())
 	x.outcome(e, a, known)
 }
 
-func (x *experiment) outcome(e ending, a *fleet.Allocation, known truth) {
+func (x *experiment) outcome(e taskEnd, a *fleet.Allocation, known taskProfile) {
 	failed := x.broken[a.Node.Worker.ID] && !e.stop
 	again := *a.Task
 	again.Team = known.team
@@ -329,11 +330,11 @@
 		known.runTime -= min(x.now-a.Since, known.runTime)
 		x.push(&again, known)
 	case failed:
-		x.fails++
+		x.failedStarts++
 		x.s.Failures.Record(x.now, a.Task, a.Node.Worker.ID)
 		x.push(&again, known)
 	default:
-		x.learned.Observe(&again, model.Outcome{Ran: known.runTime, Usage: known.usage})
+		x.estimator.Observe(&again, model.Outcome{Ran: known.runTime, Usage: known.usage})
 	}
 	if x.quarantine && !e.stop {
 		x.keeper.Observe(x.now, a.Node.Worker.ID, a.Task, failed)
--- a/internal/scheduler/explain.go
+++ b/internal/scheduler/explain.go
@@ -41,7 +41,7 @@
 	Plugin  string `json:"plugin"`
 	Reason  string `json:"reason"`
 	Workers int    `json:"workers"`
-	Avoid   bool   `json:"avoid,omitempty"` // used only if every other worker is refused
+	Avoid   bool   `json:"avoid,omitempty"` // chosen only if no worker without such a reason is found
 }
 
 // Explanation counts, by filter and reason, why a task can't be placed now.
--- a/internal/scheduler/fleet/fleet.go
+++ b/internal/scheduler/fleet/fleet.go
@@ -36,8 +36,8 @@
 
 	freed         freedWorkers
 	spread        map[spreadKey]*Spread
-	workersByRack map[string]int // workers by rack
-	workersByZone map[string]int // workers by availability zone
+	workersByRack map[string]int // number of workers
+	workersByZone map[string]int // number of workers
 	journal       []journalEntry
 	planning      bool
 	holds         map[model.TaskID]Hold
@@ -254,6 +254,7 @@
 	return a
 }
 
+// commit adds an allocation to its worker, the totals, the index and the open plan.
 func (f *Fleet) commit(a *Allocation) {
 	n := a.Node
 	a.pos = len(n.allocs)
@@ -269,6 +270,7 @@
 	f.journalAllocation(a)
 }
 
+// release undoes commit, except for the entry of the open plan.
 func (f *Fleet) release(a *Allocation) {
 	n := a.Node
 	last := len(n.allocs) - 1
@@ -289,6 +291,7 @@
 	}
 }
 
+// maxOf returns the maximum of a and b in each dimension.
 func maxOf(a, b model.Resources) model.Resources {
 	return model.Resources{
 		MilliCPU:     max(a.MilliCPU, b.MilliCPU),
--- a/internal/scheduler/fleet/fleet_test.go
+++ b/internal/scheduler/fleet/fleet_test.go
@@ -42,7 +42,8 @@
 	{{Label: "rack", Op: model.OpExists}},
 }
 
-// checkLedger recomputes what the fleet keeps as sums.
+// checkLedger recomputes the sums that the fleet maintains and compares them. adopted says
+// that workers may be overcommitted.
 func checkLedger(t require.TestingT, f *Fleet, adopted bool) {
 	var capacity, used model.Resources
 	count := 0
@@ -68,19 +69,19 @@
 	require.Equal(t, count, f.Tasks())
 }
 
-// fullScan reports whether any worker fits, without the index.
+// fullScan reports whether any worker is feasible, without the index.
 func fullScan(f *Fleet, s *Search, selector model.Selector) bool {
 	for _, n := range f.nodes {
-		room := n.AvailableFor(s.Demand, s.Dedicated())
-		if n.Schedulable() && n.probationAllows() && selector.Matches(n.Worker.Labels) && s.Demand.Fits(room) {
+		free := n.AvailableFor(s.Demand, s.Dedicated())
+		if n.Schedulable() && n.probationAllows() && selector.Matches(n.Worker.Labels) && s.Demand.Fits(free) {
 			return true
 		}
 	}
 	return false
 }
 
-// TestLedgerAndIndex drives a fleet at random and compares the index with a full
-// scan and the sums with a recount after each step.
+// TestLedgerAndIndex changes a fleet at random. After each step it compares the index with a
+// full scan and the sums with recomputed ones.
 func TestLedgerAndIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := New()
@@ -145,7 +146,7 @@
 func TestSelectorIndexStaysBounded(t *testing.T) {
 	f := New()
 	byHost := model.Selector{{Label: "host", Op: model.OpIn, Values: []string{"7"}}}
-	f.Select(byHost) // before any worker is known, so the label looks harmless
+	f.Select(byHost) // indexed before any worker exists, when the label has no values yet
 	for i := range 3000 {
 		f.Upsert(model.Worker{
 			ID:       model.WorkerID(fmt.Sprint(i)),
--- a/internal/scheduler/fleet/main_test.go
+++ b/internal/scheduler/fleet/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// rapidSeed makes the random tests the same in every run.
+// rapidSeed is the seed of the property tests, so that every run is the same.
 const rapidSeed = "20261203"
 
 func TestMain(m *testing.M) {
--- a/internal/scheduler/preempt/preempt_test.go
+++ b/internal/scheduler/preempt/preempt_test.go
@@ -32,7 +32,7 @@
 	return &model.Task{ID: model.TaskID(id), Team: "u", Kind: model.KindRequest, Class: model.ClassUrgent, Demand: model.Resources{MilliCPU: cpu}}
 }
 
-func TestPreemptPicksLeastLostWork(t *testing.T) {
+func TestPreemptMinimizesLostWork(t *testing.T) {
 	type running struct {
 		task  *model.Task
 		since time.Duration
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestPreemptedRoomIsHeldForTheUrgentTask(t *testing.T) {
+func TestPreemptedCapacityIsHeldForTheUrgentTask(t *testing.T) {
 	f := oneWorker()
 	p := New(1)
 	require.NoError(t, f.Assume(0, victim("v", 1000, "low"), "w"))
@@ -84,7 +84,7 @@
 	require.NoError(t, f.Assume(now, u, "w"))
 }
 
-func TestPreemptDoesNotCountTheSameRoomTwice(t *testing.T) {
+func TestPreemptDoesNotCountTheSameCapacityTwice(t *testing.T) {
 	f := oneWorker()
 	p := New(1)
 	require.NoError(t, f.Assume(0, victim("v1", 500, "low"), "w"))
@@ -124,18 +124,18 @@
 
 func TestPreemptForShareTakesOnlyFromTeamsAboveTheirs(t *testing.T) {
 	f := oneWorker()
-	book := shares.NewAccounts()
-	book.SetCapacity(f.Capacity())
+	accounts := shares.NewAccounts()
+	accounts.SetCapacity(f.Capacity())
 	for _, v := range []*model.Task{victim("rich1", 400, "normal"), victim("rich2", 300, "normal"), victim("poor", 300, "low")} {
 		if v.ID == "poor" {
 			v.Team = "b"
 		}
 		require.NoError(t, f.Assume(0, v, "w"))
-		book.Charge(v.Team, v.Demand)
+		accounts.Charge(v.Team, v.Demand)
 	}
 	targets := map[model.TeamID]float64{"a": 0.33, "b": 0.33, "c": 0.33}
 	waiting := &model.Task{ID: "w", Team: "c", Demand: model.Resources{MilliCPU: 300}}
-	plan, status := New(1).Plan(now, f, waiting, ForShare(book, targets))
+	plan, status := New(1).Plan(now, f, waiting, ForShare(accounts, targets))
 	require.True(t, status.Success())
 	require.Len(t, plan.Victims, 1)
 	require.Equal(t, model.TaskID("rich2"), plan.Victims[0].Task)
--- a/internal/scheduler/preempt_bench_test.go
+++ b/internal/scheduler/preempt_bench_test.go
@@ -12,16 +12,16 @@
 	"pollenbend/internal/scheduler/preempt"
 )
 
-// BenchmarkPlacePreempt measures plans for urgent tasks on a full fleet.
+// BenchmarkPlacePreempt measures preemption plans for urgent tasks on a full fleet.
 func BenchmarkPlacePreempt(b *testing.B) {
 	for _, workers := range benchFleets {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			w := newWorkload(benchSeed)
-			s := sampled{New(Config{Seed: benchSeed})}
+			s := sampledPlacer{New(Config{Seed: benchSeed})}
 			for _, worker := range benchWorkers(workers) {
 				s.Fleet.Upsert(worker)
 			}
-			fill(b, w, s, int(float64(workers)*tasksPerWorker*3/2))
+			fillFleet(b, w, s, int(float64(workers)*tasksPerWorker*3/2))
 			for _, n := range s.Fleet.Nodes() {
 				for _, a := range n.Allocations() {
 					a.Task.Repeatable = true
--- a/internal/scheduler/quarantine/quarantine_test.go
+++ b/internal/scheduler/quarantine/quarantine_test.go
@@ -22,7 +22,7 @@
 
 func workerID(i int) model.WorkerID { return model.WorkerID(fmt.Sprint("w", i)) }
 
-func aside(f *fleet.Fleet) map[model.WorkerID]bool {
+func quarantinedWorkers(f *fleet.Fleet) map[model.WorkerID]bool {
 	out := map[model.WorkerID]bool{}
 	for _, n := range f.Nodes() {
 		if n.Reasons()&fleet.ReasonQuarantined != 0 {
@@ -32,9 +32,9 @@
 	return out
 }
 
-// run plays outcomes at random: bad workers fail everything, job 0 fails
-// everywhere, other jobs fail one time in twenty.
-func run(f *fleet.Fleet, bad map[model.WorkerID]bool, outcomes int) *Keeper {
+// observeRandomOutcomes reports random outcomes to a new Keeper: bad workers fail every
+// task, job 0 fails on every worker, and other jobs fail one time in twenty.
+func observeRandomOutcomes(f *fleet.Fleet, bad map[model.WorkerID]bool, outcomes int) *Keeper {
 	const seed = 11
 	rng := rand.New(rand.NewPCG(seed, seed))
 	k := New(f)
@@ -54,11 +54,11 @@
 func TestQuarantineFindsWorkersThatFailEverything(t *testing.T) {
 	f := newFleet(200)
 	bad := map[model.WorkerID]bool{"w3": true, "w77": true, "w120": true, "w199": true}
-	run(f, bad, 10_000)
-	require.Equal(t, bad, aside(f))
+	observeRandomOutcomes(f, bad, 10_000)
+	require.Equal(t, bad, quarantinedWorkers(f))
 }
 
-func TestQuarantineSparesWorkersFromAJobThatFailsEverywhere(t *testing.T) {
+func TestQuarantineIgnoresJobsThatFailEverywhere(t *testing.T) {
 	f := newFleet(100)
 	k := New(f)
 	for i := range 5000 {
@@ -75,7 +75,7 @@
 	for i := range 30 {
 		bad[workerID(i)] = true
 	}
-	k := run(f, bad, 20_000)
+	k := observeRandomOutcomes(f, bad, 20_000)
 	require.Equal(t, 5, k.Quarantined())
 }
 
@@ -86,19 +86,19 @@
 	for i := 1; i < 10; i++ {
 		k.Observe(0, workerID(i), good, false)
 	}
-	condemn := func(now time.Duration) {
+	failUntilQuarantined := func(now time.Duration) {
 		for i := 0; i < 10 && !k.Observe(now, "w0", good, true); i++ {
 		}
 		require.NotZero(t, f.Node("w0").Reasons()&fleet.ReasonQuarantined)
 	}
-	condemn(0)
+	failUntilQuarantined(0)
 	k.Tick(firstDuration - 1)
 	require.False(t, f.Node("w0").Schedulable())
 	k.Tick(firstDuration)
 	require.Equal(t, fleet.ReasonProbation, f.Node("w0").Reasons())
-	condemn(firstDuration)
+	failUntilQuarantined(firstDuration)
 	k.Tick(2 * firstDuration)
-	require.False(t, f.Node("w0").Schedulable(), "the second stay is twice as long")
+	require.False(t, f.Node("w0").Schedulable(), "the second quarantine lasts twice as long")
 	k.Tick(3 * firstDuration)
 	for range probationSuccesses {
 		k.Observe(3*firstDuration, "w0", good, false)
--- a/internal/scheduler/queue/lane.go
+++ b/internal/scheduler/queue/lane.go
@@ -6,7 +6,7 @@
 	"pollenbend/internal/model"
 )
 
-// laneCount is the number of laneCount of one team and class.
+// laneCount is the number of lanes of one team and class.
 const laneCount = 16
 
 // item is one waiting task.
--- a/internal/scheduler/queue/queue.go
+++ b/internal/scheduler/queue/queue.go
@@ -14,7 +14,9 @@
 // Limiter enforces concurrency limits: it grants and takes back permits to run one
 // task of a team.
 type Limiter interface {
+	// Acquire takes a permit of the team and reports whether one was free.
 	Acquire(model.TeamID) bool
+	// Release gives back a permit.
 	Release(model.TeamID)
 }
 
@@ -71,7 +73,7 @@
 
 // Queue holds the waiting tasks of all teams.
 type Queue struct {
-	Book *shares.Accounts
+	Book *shares.Accounts // weights and usage of the teams
 
 	maxWaiting int
 	limiter    Limiter
--- a/internal/scheduler/queue/queue_test.go
+++ b/internal/scheduler/queue/queue_test.go
@@ -12,13 +12,14 @@
 	"pollenbend/internal/verdict"
 )
 
-var one = model.Resources{MilliCPU: 1}
+var unitDemand = model.Resources{MilliCPU: 1}
 
 func task(team, id string) *model.Task {
-	return &model.Task{ID: model.TaskID(id), Team: model.TeamID(team), Demand: one}
+	return &model.Task{ID: model.TaskID(id), Team: model.TeamID(team), Demand: unitDemand}
 }
 
-func ids(q *Queue, n int) []model.TaskID {
+// startNext pops and starts up to n tasks and returns their IDs.
+func startNext(q *Queue, n int) []model.TaskID {
 	var out []model.TaskID
 	for range n {
 		t := q.Pop()
@@ -39,12 +40,12 @@
 		require.NoError(t, q.Push(task("a", fmt.Sprint("a", i))))
 		require.NoError(t, q.Push(task("b", fmt.Sprint("b", i))))
 	}
-	require.Equal(t, []model.TaskID{"a0", "b0", "b1", "b2", "a1", "b3", "b4", "b5"}, ids(q, 8))
+	require.Equal(t, []model.TaskID{"a0", "b0", "b1", "b2", "a1", "b3", "b4", "b5"}, startNext(q, 8))
 	q.SetUsage("b", model.Resources{MilliCPU: 50})
-	require.Equal(t, []model.TaskID{"a2", "a3", "a4"}, ids(q, 3))
+	require.Equal(t, []model.TaskID{"a2", "a3", "a4"}, startNext(q, 3))
 }
 
-func TestShareCeilingKeepsRoomForOthers(t *testing.T) {
+func TestShareCeilingKeepsCapacityForOthers(t *testing.T) {
 	q := New(Config{})
 	q.SetCapacity(model.Resources{MilliCPU: 100})
 	for i := range 80 {
@@ -56,13 +57,13 @@
 	q.Rebalance()
 	require.Equal(t, large, q.Pop())
 	q.Defer(large)
-	require.Len(t, ids(q, 99), 51, "the small tasks' fair half and the tolerance")
+	require.Len(t, startNext(q, 99), 51, "the fair half of team small, and the tolerance")
 	q.CancelJob("large", "")
 	q.Rebalance()
-	require.Len(t, ids(q, 99), 29, "with nobody else waiting all may be borrowed")
+	require.Len(t, startNext(q, 99), 29, "all capacity may be used when no other team waits")
 }
 
-func TestShareCeilingLeavesIdlePartToAnybody(t *testing.T) {
+func TestShareCeilingLeavesIdleShareToAnyTeam(t *testing.T) {
 	q := New(Config{})
 	q.SetCapacity(model.Resources{MilliCPU: 100})
 	for _, team := range []string{"a", "b", "c", "d"} {
@@ -72,7 +73,7 @@
 	for i := range 99 {
 		require.NoError(t, q.Push(task("a", fmt.Sprint(i))))
 	}
-	require.Len(t, ids(q, 199), 101, "b, c, d and 98 of a, up to its part of one and the idle 96, and the tolerance")
+	require.Len(t, startNext(q, 199), 101, "b, c, d and 98 tasks of a: its fair share of 1, the idle 96, and the tolerance")
 }
 
 func TestUrgentGoesFirstInOrderReceived(t *testing.T) {
@@ -84,7 +85,7 @@
 	for _, w := range []*model.Task{low, task("a", "1"), task("a", "2"), urgent} {
 		require.NoError(t, q.Push(w))
 	}
-	require.Equal(t, []model.TaskID{"u", "1", "2", "low"}, ids(q, 9))
+	require.Equal(t, []model.TaskID{"u", "1", "2", "low"}, startNext(q, 9))
 }
 
 func TestFullQueueRefusesWithVerdict(t *testing.T) {
@@ -111,14 +112,14 @@
 	}
 	require.Equal(t, large, q.Pop())
 	q.Defer(large)
-	require.Equal(t, []model.TaskID{"other"}, ids(q, 9))
+	require.Equal(t, []model.TaskID{"other"}, startNext(q, 9))
 	q.Wake(model.Resources{MilliCPU: 9})
-	require.Empty(t, ids(q, 9))
+	require.Empty(t, startNext(q, 9))
 	q.Wake(model.Resources{MilliCPU: 10})
-	require.Equal(t, []model.TaskID{"large", "behind"}, ids(q, 9))
+	require.Equal(t, []model.TaskID{"large", "behind"}, startNext(q, 9))
 }
 
-// limiter allows a number of tasks for each team.
+// limiter holds the number of free permits of each team.
 type limiter map[model.TeamID]int
 
 func (l limiter) Acquire(team model.TeamID) bool {
@@ -131,18 +132,18 @@
 
 func (l limiter) Release(team model.TeamID) { l[team]++ }
 
-func TestUpperLimitPassesTeamOver(t *testing.T) {
+func TestUpperLimitSkipsTeam(t *testing.T) {
 	l := limiter{"a": 1, "b": 5}
 	q := New(Config{Limiter: l})
 	first := task("a", "a1")
 	for _, w := range []*model.Task{first, task("a", "a2"), task("b", "b1")} {
 		require.NoError(t, q.Push(w))
 	}
-	require.Equal(t, []model.TaskID{"a1", "b1"}, ids(q, 9))
+	require.Equal(t, []model.TaskID{"a1", "b1"}, startNext(q, 9))
 	q.Ended(first)
-	require.Equal(t, []model.TaskID{"a2"}, ids(q, 9))
+	require.Equal(t, []model.TaskID{"a2"}, startNext(q, 9))
 	require.NoError(t, q.Push(task("a", "a3")))
-	require.Empty(t, ids(q, 9))
+	require.Empty(t, startNext(q, 9))
 	l["a"]++
 	q.LimitChanged("a")
 	got := q.Pop()
@@ -150,7 +151,7 @@
 	require.Equal(t, limiter{"a": 1, "b": 4}, l)
 }
 
-func TestCancelWaves(t *testing.T) {
+func TestCancelJobRemovesAllItsTasks(t *testing.T) {
 	q := New(Config{})
 	for i := range 1000 {
 		w := task("a", fmt.Sprint(i))
@@ -162,7 +163,7 @@
 	require.NotNil(t, q.Cancel("1"))
 	require.Nil(t, q.Cancel("1"))
 	require.Equal(t, 499, q.Len())
-	require.Equal(t, []model.TaskID{"3", "5", "7"}, ids(q, 3))
+	require.Equal(t, []model.TaskID{"3", "5", "7"}, startNext(q, 3))
 }
 
 func TestCancelOfBlockedTaskUnblocksItsLane(t *testing.T) {
@@ -172,10 +173,10 @@
 	q.Defer(q.Pop())
 	require.Nil(t, q.Pop())
 	q.Cancel("1")
-	require.Equal(t, []model.TaskID{"2"}, ids(q, 9))
+	require.Equal(t, []model.TaskID{"2"}, startNext(q, 9))
 }
 
-func TestParkedTaskKeepsItsPlaceAndHoldsUpNothing(t *testing.T) {
+func TestParkedTaskKeepsItsPositionAndBlocksNothing(t *testing.T) {
 	q := New(Config{MaxWaiting: 3})
 	for _, id := range []string{"1", "2", "3"} {
 		require.NoError(t, q.Push(task("a", id)))
@@ -187,15 +188,15 @@
 	require.Error(t, q.Push(task("a", "4")))
 	q.Unpark("2")
 	q.Unpark("1")
-	require.Equal(t, []model.TaskID{"1", "2", "3"}, ids(q, 9))
+	require.Equal(t, []model.TaskID{"1", "2", "3"}, startNext(q, 9))
 	require.NoError(t, q.Push(task("a", "5")))
 	q.Park(q.Pop())
 	require.NotNil(t, q.Cancel("5"))
 	require.Zero(t, q.Len())
 }
 
-// TestOrderWithinTeam pops, defers and wakes at random and checks that each lane
-// keeps its order and nothing is lost or doubled.
+// TestOrderWithinTeam pops, defers and wakes at random and checks that each lane keeps
+// its order and that no task is lost or duplicated.
 func TestOrderWithinTeam(t *testing.T) {
 	const seed = 7
 	t.Log("seed", seed)
@@ -224,7 +225,7 @@
 			q.Started(w)
 			started++
 		case 3:
-			q.Wake(one)
+			q.Wake(unitDemand)
 		}
 	}
 	require.Equal(t, pushed-started, q.Len())
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -45,6 +45,7 @@
 	scorers []plugin.WeightedScorer
 	rng     *rand.Rand
 
+	// Reused by all decisions to save allocations.
 	search          fleet.Search
 	preferredSearch fleet.Search
 	state           plugin.State
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -27,7 +27,8 @@
 	smallDemand   = model.Resources{MilliCPU: 1000, MemoryMiB: 1024, Slots: 1}
 )
 
-// smallFleet has three zones of two racks, two workers each; w0 has accelerators.
+// smallFleet returns a scheduler over three zones of two racks with two workers each. Only
+// w0 has accelerators.
 func smallFleet() *Scheduler {
 	s := New(Config{Seed: 1, Home: model.Location{Region: "ie", Zone: "z1"}})
 	for i := range 12 {
@@ -115,7 +116,7 @@
 	}
 }
 
-func TestSpreadGivesWayWhenAZoneIsLost(t *testing.T) {
+func TestSpreadAllowsSkewWhenAZoneIsLost(t *testing.T) {
 	s := smallFleet()
 	for _, n := range s.Fleet.Nodes() {
 		if n.Zone() != "z0" {
@@ -131,7 +132,7 @@
 	}
 }
 
-func TestAcceleratorsAreKept(t *testing.T) {
+func TestAcceleratorCapacityIsReserved(t *testing.T) {
 	s := smallFleet()
 	place := func(id string, demand model.Resources) (Decision, plugin.Status) {
 		task := &model.Task{ID: model.TaskID(id), Demand: demand}
@@ -155,12 +156,12 @@
 	require.Equal(t, model.WorkerID("w0"), d.Worker)
 
 	_, status = place("beside", model.Resources{MilliCPU: 7000})
-	require.True(t, status.Success(), "the busy accelerator's part of the processors is free for others")
+	require.True(t, status.Success(), "processors reserved for an accelerator must be free for other work once it is in use")
 	_, status = place("too much", model.Resources{MilliCPU: 1000})
 	require.False(t, status.Success())
 }
 
-func TestFeasibleSaysWhatIsMissing(t *testing.T) {
+func TestFeasibleReportsWhatIsMissing(t *testing.T) {
 	s := smallFleet()
 	tests := []struct {
 		name   string
@@ -186,7 +187,7 @@
 	require.True(t, s.Feasible(task).Success())
 	last := s.Fleet.Node("w5").Worker
 	require.NoError(t, s.Fleet.SetUnschedulable("w5", fleet.ReasonNoLease, true))
-	require.True(t, s.Feasible(task).Success(), "a worker out of reach may come back")
+	require.True(t, s.Feasible(task).Success(), "a worker without a lease may return")
 	last.Leaving = true
 	s.Fleet.Upsert(last)
 	require.Equal(t, plugin.Impossible, s.Feasible(task).Code)
--- a/internal/scheduler/shares/shares.go
+++ b/internal/scheduler/shares/shares.go
@@ -46,61 +46,61 @@
 
 // Account returns a team's account and creates it if it doesn't exist. The default
 // weight is 1.
-func (b *Accounts) Account(team model.TeamID) *Account {
-	a := b.accounts[team]
+func (as *Accounts) Account(team model.TeamID) *Account {
+	a := as.accounts[team]
 	if a == nil {
 		a = &Account{Team: team, weight: 1}
-		b.accounts[team] = a
+		as.accounts[team] = a
 	}
 	return a
 }
 
 // SetWeight sets a team's weight; values below 1 count as 1.
-func (b *Accounts) SetWeight(team model.TeamID, weight int64) {
-	b.Account(team).weight = max(weight, 1)
+func (as *Accounts) SetWeight(team model.TeamID, weight int64) {
+	as.Account(team).weight = max(weight, 1)
 }
 
 // SetCapacity sets the total capacity of the fleet.
-func (b *Accounts) SetCapacity(capacity model.Resources) {
-	b.capacity = capacity
-	for _, a := range b.accounts {
-		b.updateShare(a)
+func (as *Accounts) SetCapacity(capacity model.Resources) {
+	as.capacity = capacity
+	for _, a := range as.accounts {
+		as.updateShare(a)
 	}
 }
 
 // Capacity returns the total capacity of the fleet.
-func (b *Accounts) Capacity() model.Resources { return b.capacity }
+func (as *Accounts) Capacity() model.Resources { return as.capacity }
 
 // SetRemoteUsage sets the resources held by a team's tasks that other instances placed.
-func (b *Accounts) SetRemoteUsage(team model.TeamID, usage model.Resources) {
-	a := b.Account(team)
+func (as *Accounts) SetRemoteUsage(team model.TeamID, usage model.Resources) {
+	a := as.Account(team)
 	a.remote = usage
-	b.updateShare(a)
+	as.updateShare(a)
 }
 
 // Charge adds a task's demand to its team's usage.
-func (b *Accounts) Charge(team model.TeamID, demand model.Resources) {
-	a := b.Account(team)
+func (as *Accounts) Charge(team model.TeamID, demand model.Resources) {
+	a := as.Account(team)
 	a.local = a.local.Add(demand)
-	b.updateShare(a)
+	as.updateShare(a)
 }
 
 // Refund subtracts a task's demand from its team's usage.
-func (b *Accounts) Refund(team model.TeamID, demand model.Resources) {
-	a := b.Account(team)
+func (as *Accounts) Refund(team model.TeamID, demand model.Resources) {
+	a := as.Account(team)
 	a.local = a.local.Sub(demand)
-	b.updateShare(a)
+	as.updateShare(a)
 }
 
 // Remove deletes a team's account unless the team holds resources.
-func (b *Accounts) Remove(team model.TeamID) {
-	a := b.accounts[team]
+func (as *Accounts) Remove(team model.TeamID) {
+	a := as.accounts[team]
 	if a != nil && a.Usage().IsZero() {
-		delete(b.accounts, team)
+		delete(as.accounts, team)
 	}
 }
 
-func (b *Accounts) updateShare(a *Account) { a.dominantShare = DominantShare(a.Usage(), b.capacity) }
+func (as *Accounts) updateShare(a *Account) { a.dominantShare = DominantShare(a.Usage(), as.capacity) }
 
 // DominantShare returns the maximum ratio of used to capacity over all dimensions.
 // Dimensions without capacity don't count.
--- a/internal/scheduler/shares_bench_test.go
+++ b/internal/scheduler/shares_bench_test.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	backlogPerTeam = 200
-	shiftAt        = 300 * time.Second
-	shortlyAfter   = 10 * time.Second
-	aMinute        = time.Minute
-	settledAfter   = 300 * time.Second
+	backlogPerTeam  = 200
+	shiftAt         = 300 * time.Second
+	tenSecondsAfter = 10 * time.Second
+	oneMinuteAfter  = time.Minute
+	settledAfter    = 300 * time.Second
 )
 
-// BenchmarkPlaceShares keeps a fleet full. A third of the teams want nothing at
-// first, the others borrow their part; then all want all they can get. It reports
-// the distance of teams from their weighted fair part, in percent of it, before
-// the shift, ten seconds after it and when settled.
+// BenchmarkPlaceShares keeps a fleet full. At first a third of the teams have no
+// demand, and the others use their shares. At shiftAt all teams have unlimited demand.
+// It reports the error of the teams' dominant shares, in percent of their weighted fair
+// shares, before the shift, ten seconds and one minute after it, and when settled.
 func BenchmarkPlaceShares(b *testing.B) {
 	variants := []struct {
 		name string
@@ -30,8 +30,8 @@
 		{"order", options{noCeiling: true}},
 		{"ceiling", options{}},
 		{"reclaim", options{reclaim: true}},
-		{"reclaim+faults", options{reclaim: true, wrongSizes: true, brokenEvery: 50}},
-		{"reclaim+faults+remedies", options{reclaim: true, wrongSizes: true, brokenEvery: 50, estimates: true, quarantine: true}},
+		{"reclaim+faults", options{reclaim: true, wrongSizes: true, workersPerBroken: 50}},
+		{"reclaim+faults+remedies", options{reclaim: true, wrongSizes: true, workersPerBroken: 50, estimates: true, quarantine: true}},
 	}
 	for _, workers := range []string{"1200", "12000"} {
 		for _, v := range variants {
@@ -51,30 +51,30 @@
 	for _, phase := range []struct {
 		name  string
 		until time.Duration
-	}{{"before", shiftAt - tick}, {"10s", shiftAt + shortlyAfter}, {"60s", shiftAt + aMinute}, {"settled", shiftAt + settledAfter}} {
+	}{{"before", shiftAt - tick}, {"10s", shiftAt + tenSecondsAfter}, {"60s", shiftAt + oneMinuteAfter}, {"settled", shiftAt + settledAfter}} {
 		for x.now < phase.until {
-			x.topUp()
+			x.refillBacklogs()
 			if x.now >= next {
 				x.targets = x.rebalance()
 				next += time.Second
 			}
 			x.advance()
 		}
-		mean, worst := x.distance()
+		mean, worst := x.shareError()
 		b.ReportMetric(100*mean, phase.name+"-mean-%")
 		b.ReportMetric(100*worst, phase.name+"-worst-%")
 	}
-	b.ReportMetric(100*float64(x.fails)/float64(x.starts), "failed-starts-%")
-	b.ReportMetric(float64(x.stops)/x.now.Seconds(), "stops/s")
+	b.ReportMetric(100*float64(x.failedStarts)/float64(x.starts), "failed-starts-%")
+	b.ReportMetric(float64(x.preemptions)/x.now.Seconds(), "stops/s")
 	b.ReportMetric(100*shares.DominantShare(x.s.Fleet.Used(), x.s.Fleet.Capacity()), "used-%")
-	x.reportTrueUse(b)
+	x.reportActualUsage(b)
 }
 
-// wants reports whether a team wants anything now.
-func (x *experiment) wants(i int) bool { return x.now >= shiftAt || i%3 != 0 }
+// hasDemand reports whether a team submits tasks now.
+func (x *experiment) hasDemand(i int) bool { return x.now >= shiftAt || i%3 != 0 }
 
-// topUp keeps enough waiting for every team that wants anything.
-func (x *experiment) topUp() {
+// refillBacklogs keeps enough tasks waiting for every team with demand.
+func (x *experiment) refillBacklogs() {
 	if x.fifo {
 		for x.q.Len() < backlogPerTeam*benchTeams {
 			x.submitFor(x.rng.IntN(benchTeams))
@@ -82,39 +82,39 @@
 		return
 	}
 	for i := range benchTeams {
-		x.topUpTeam(i)
+		x.refillBacklog(i)
 	}
 }
 
-func (x *experiment) topUpTeam(i int) {
+func (x *experiment) refillBacklog(i int) {
 	wanted := backlogPerTeam
 	if x.now == 0 {
-		wanted = x.workers // enough to fill the fleet by share at once
+		wanted = x.workers // enough to fill the fleet by share in the first tick
 	}
-	for x.wants(i) && x.q.Waiting(teamName(i)) < wanted {
+	for x.hasDemand(i) && x.q.Waiting(teamName(i)) < wanted {
 		x.submitFor(i)
 	}
 }
 
 func (x *experiment) submitFor(i int) {
-	if !x.wants(i) {
+	if !x.hasDemand(i) {
 		return
 	}
 	t := x.w.plainNext()
-	template := x.w.templates[i+benchTeams*x.rng.IntN(templatesByTeam)]
+	template := x.w.templates[i+benchTeams*x.rng.IntN(templatesPerTeam)]
 	t.Team, t.Job, t.Kind, t.Demand = template.Team, template.Job, template.Kind, template.Demand
 	x.submit(t)
 }
 
-// fairParts returns each team's fair part of what is in use.
-func (x *experiment) fairParts() map[model.TeamID]float64 {
+// fairShares returns each team's fair share of the capacity in use.
+func (x *experiment) fairShares() map[model.TeamID]float64 {
 	claims := make([]shares.Claim, benchTeams)
 	total := 0.0
 	for i := range claims {
-		a := x.book.Account(teamName(i))
+		a := x.accounts.Account(teamName(i))
 		wanted := a.DominantShare()
 		total += wanted
-		if x.wants(i) {
+		if x.hasDemand(i) {
 			wanted = 1
 		}
 		claims[i] = shares.Claim{Team: a.Team, Weight: a.Weight(), WantedShare: wanted}
@@ -126,11 +126,11 @@
 	return out
 }
 
-// rebalance sets the queue's ceilings, unless it is the baseline, and returns the
-// targets.
+// rebalance sets the queue's ceilings, unless the experiment has none, and returns the
+// teams' target shares.
 func (x *experiment) rebalance() map[model.TeamID]float64 {
 	if x.fifo || x.noCeiling {
-		return x.fairParts()
+		return x.fairShares()
 	}
 	out := make(map[model.TeamID]float64, benchTeams)
 	for _, t := range x.q.Rebalance() {
@@ -139,33 +139,33 @@
 	return out
 }
 
-// distance returns the mean and the worst distance of teams that want anything
-// from their fair part, in relation to it.
-func (x *experiment) distance() (mean, worst float64) {
-	fair := x.fairParts()
+// shareError returns the mean and the maximum error of the dominant shares of teams
+// with demand, relative to their fair shares.
+func (x *experiment) shareError() (mean, worst float64) {
+	fair := x.fairShares()
 	count := 0
 	for i := range benchTeams {
-		if !x.wants(i) {
+		if !x.hasDemand(i) {
 			continue
 		}
-		a := x.book.Account(teamName(i))
-		distance := math.Abs(a.DominantShare()-fair[a.Team]) / fair[a.Team]
-		mean += distance
-		worst = max(worst, distance)
+		a := x.accounts.Account(teamName(i))
+		relative := math.Abs(a.DominantShare()-fair[a.Team]) / fair[a.Team]
+		mean += relative
+		worst = max(worst, relative)
 		count++
 	}
 	return mean / float64(count), worst
 }
 
-// reportTrueUse reports what tasks really use: in all, and how many workers run
-// more than they have.
-func (x *experiment) reportTrueUse(b *testing.B) {
+// reportActualUsage reports the actual usage of all tasks, and the percentage of workers
+// whose tasks use more than their capacity.
+func (x *experiment) reportActualUsage(b *testing.B) {
 	var total model.Resources
 	overloaded := 0
 	for _, n := range x.s.Fleet.Nodes() {
 		var used model.Resources
 		for _, a := range n.Allocations() {
-			used = used.Add(x.truths[a.Task.ID].usage)
+			used = used.Add(x.profiles[a.Task.ID].usage)
 		}
 		total = total.Add(used)
 		if !used.Fits(n.Worker.Capacity) {
--- a/internal/scheduler/waiting_bench_test.go
+++ b/internal/scheduler/waiting_bench_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	waitingRun    = 600 * time.Second
-	waitingWarmUp = 360 * time.Second
-	urgentPart    = 50 // one arrival in so many is urgent
-	lowPart       = 5
+	waitingRunDuration = 600 * time.Second
+	warmUpDuration     = 360 * time.Second
+	arrivalsPerUrgent  = 50 // one in this many arrivals is urgent
+	arrivalsPerLow     = 5
 )
 
-// waits records waiting times from the end of the warm-up on.
-type waits struct {
+// waitHistograms records the waiting times after the warm-up, in milliseconds.
+type waitHistograms struct {
 	byClass map[model.Class]*hdrhistogram.Histogram
 	byTeam  map[model.TeamID]*hdrhistogram.Histogram
 }
@@ -29,9 +29,9 @@
 	return hdrhistogram.New(1, int64(time.Hour/time.Millisecond), 2)
 }
 
-// BenchmarkPlaceWaiting plays arrivals at a part of what the fleet can run and
-// reports the waiting time in virtual milliseconds by class, and the median over
-// teams of normal work's median, with the worst team's.
+// BenchmarkPlaceWaiting simulates arrivals at several loads relative to the capacity of
+// the fleet. It reports the waiting time by class, in virtual milliseconds, and the
+// median and maximum over teams of the median for class normal.
 func BenchmarkPlaceWaiting(b *testing.B) {
 	for _, load := range []float64{0.7, 0.95, 1.2} {
 		for _, v := range []struct {
@@ -40,8 +40,8 @@
 		}{
 			{"fifo", options{fifo: true}},
 			{"shares", options{}},
-			{"shares+faults", options{wrongSizes: true, brokenEvery: 50}},
-			{"shares+faults+remedies", options{wrongSizes: true, brokenEvery: 50, estimates: true, quarantine: true}},
+			{"shares+faults", options{wrongSizes: true, workersPerBroken: 50}},
+			{"shares+faults+remedies", options{wrongSizes: true, workersPerBroken: 50, estimates: true, quarantine: true}},
 		} {
 			b.Run(fmt.Sprintf("load=%.0f/policy=%s", 100*load, v.name), func(b *testing.B) {
 				v.o.workers = 1200
@@ -55,16 +55,16 @@
 
 func runWaiting(b *testing.B, o options, load float64) {
 	x := newExperiment(o)
-	w := waits{byClass: map[model.Class]*hdrhistogram.Histogram{}, byTeam: map[model.TeamID]*hdrhistogram.Histogram{}}
+	w := waitHistograms{byClass: map[model.Class]*hdrhistogram.Histogram{}, byTeam: map[model.TeamID]*hdrhistogram.Histogram{}}
 	x.started = func(t *model.Task, waited time.Duration) {
-		if x.now >= waitingWarmUp {
-			w.record(t.Class, x.truths[t.ID].team, waited)
+		if x.now >= warmUpDuration {
+			w.record(t.Class, x.profiles[t.ID].team, waited)
 		}
 	}
 	rate := load * x.arrivalRate()
 	next := time.Duration(0)
 	second := time.Duration(0)
-	for x.now < waitingRun {
+	for x.now < waitingRunDuration {
 		for ; next <= x.now; next += time.Duration(x.rng.ExpFloat64() / rate * float64(time.Second)) {
 			x.arrive()
 		}
@@ -75,39 +75,40 @@
 		x.advance()
 	}
 	w.report(b)
-	b.ReportMetric(float64(x.stops)/x.now.Seconds(), "stops/s")
-	b.ReportMetric(100*float64(x.fails)/float64(x.starts), "failed-starts-%")
-	x.reportTrueUse(b)
+	b.ReportMetric(float64(x.preemptions)/x.now.Seconds(), "stops/s")
+	b.ReportMetric(100*float64(x.failedStarts)/float64(x.starts), "failed-starts-%")
+	x.reportActualUsage(b)
 }
 
-// arrivalRate is the number of tasks a second that would keep all processors busy.
+// arrivalRate returns the arrivals per second that would keep all processors busy.
 func (x *experiment) arrivalRate() float64 {
 	var work float64
 	for _, t := range x.w.templates {
 		work += float64(t.Demand.MilliCPU)
 	}
 	work /= float64(len(x.w.templates))
-	runTime := batchRunTime.Seconds()*(1-1.0/urgentPart) + requestRunTime.Seconds()/urgentPart
+	runTime := batchRunTime.Seconds()*(1-1.0/arrivalsPerUrgent) + requestRunTime.Seconds()/arrivalsPerUrgent
 	return float64(x.s.Fleet.Capacity().MilliCPU) / (work * runTime)
 }
 
-// arrive submits a batch task of a team drawn with a skew, or an urgent request.
+// arrive submits a batch task or an urgent request. Teams with low numbers are drawn
+// more often.
 func (x *experiment) arrive() {
 	u := x.rng.Float64()
 	team := int(math.Pow(u, 1.5) * benchTeams)
 	t := x.w.plainNext()
-	template := x.w.templates[team+benchTeams*x.rng.IntN(templatesByTeam)]
+	template := x.w.templates[team+benchTeams*x.rng.IntN(templatesPerTeam)]
 	t.Team, t.Job, t.Kind, t.Demand = template.Team, template.Job, model.KindBatch, template.Demand
 	switch {
-	case x.rng.IntN(urgentPart) == 0:
+	case x.rng.IntN(arrivalsPerUrgent) == 0:
 		t.Class, t.Kind = model.ClassUrgent, model.KindRequest
-	case x.rng.IntN(lowPart) == 0:
+	case x.rng.IntN(arrivalsPerLow) == 0:
 		t.Class = model.ClassLow
 	}
 	x.submit(t)
 }
 
-func (w waits) record(class model.Class, team model.TeamID, waited time.Duration) {
+func (w waitHistograms) record(class model.Class, team model.TeamID, waited time.Duration) {
 	if w.byClass[class] == nil {
 		w.byClass[class] = newHistogram()
 	}
@@ -121,7 +122,7 @@
 	_ = w.byTeam[team].RecordValue(waited.Milliseconds())
 }
 
-func (w waits) report(b *testing.B) {
+func (w waitHistograms) report(b *testing.B) {
 	for class, h := range w.byClass {
 		b.ReportMetric(float64(h.ValueAtQuantile(50)), string(class)+"-p50-ms")
 		b.ReportMetric(float64(h.ValueAtQuantile(99)), string(class)+"-p99-ms")
--- a/internal/scheduler/workload_test.go
+++ b/internal/scheduler/workload_test.go
@@ -9,19 +9,20 @@
 	"pollenbend/internal/scheduler/fleet"
 )
 
-// Sizes of the synthetic fleets: tasks running are in proportion to the workers.
+// Sizes of the synthetic fleets. The number of running tasks is proportional to the
+// number of workers.
 const (
-	benchTeams      = 170
-	tasksPerWorker  = 350_000.0 / 12_000
-	templatesByTeam = 4
-	benchZones      = 9
-	benchRegions    = 4
-	rackSize        = 6
-	benchSeed       = 20261203
+	benchTeams       = 170
+	tasksPerWorker   = 350_000.0 / 12_000
+	templatesPerTeam = 4
+	benchZones       = 9
+	benchRegions     = 4
+	rackSize         = 6
+	benchSeed        = 20261203
 )
 
-// benchWorkers makes n workers like those of the brief: half have 32 processors,
-// half 16; one in twenty has accelerators.
+// benchWorkers returns n workers: half of them have 32 processors and half 16, and one
+// in twenty has accelerators.
 func benchWorkers(n int) []model.Worker {
 	out := make([]model.Worker, n)
 	for i := range out {
@@ -48,22 +49,22 @@
 	return out
 }
 
-// workload draws tasks from a fixed set of templates by team.
+// workload draws random tasks from a fixed set of templates for each team.
 type workload struct {
 	rng       *rand.Rand
 	templates []model.Task
-	serial    int
+	lastIndex int
 }
 
-// sizes of tasks in milli-CPU and how often each is drawn, in parts of 100.
+// sizes lists the sizes of tasks and the percentage of draws of each.
 var sizes = []struct {
 	milliCPU int64
-	parts    int
+	percent  int
 }{{250, 45}, {500, 30}, {1000, 15}, {2000, 7}, {4000, 3}}
 
 func newWorkload(seed uint64) *workload {
 	w := &workload{rng: rand.New(rand.NewPCG(seed, 1))}
-	for i := range benchTeams * templatesByTeam {
+	for i := range benchTeams * templatesPerTeam {
 		w.templates = append(w.templates, w.template(i))
 	}
 	return w
@@ -76,7 +77,7 @@
 		Job:    model.JobID(fmt.Sprint("job", i)),
 		Kind:   model.KindBatch,
 		Class:  model.ClassNormal,
-		Demand: model.Resources{MilliCPU: w.noise(size), MemoryMiB: w.noise(size * 2), Slots: 1},
+		Demand: model.Resources{MilliCPU: w.jitter(size), MemoryMiB: w.jitter(size * 2), Slots: 1},
 	}
 	switch (i + i/benchTeams) % 10 {
 	case 0, 1:
@@ -95,48 +96,48 @@
 func (w *workload) size() int64 {
 	draw := w.rng.IntN(100)
 	for _, s := range sizes {
-		if draw -= s.parts; draw < 0 {
+		if draw -= s.percent; draw < 0 {
 			return s.milliCPU
 		}
 	}
 	return sizes[0].milliCPU
 }
 
-// noise returns x multiplied by a factor from 0.5 to 1.5.
-func (w *workload) noise(x int64) int64 { return x/2 + w.rng.Int64N(x+1) }
+// jitter returns x multiplied by a random factor from 0.5 to 1.5.
+func (w *workload) jitter(x int64) int64 { return x/2 + w.rng.Int64N(x+1) }
 
 func (w *workload) next() *model.Task {
 	t := w.templates[w.rng.IntN(len(w.templates))]
-	w.serial++
-	t.ID = model.TaskID("t" + strconv.Itoa(w.serial))
-	t.Index = w.serial
+	w.lastIndex++
+	t.ID = model.TaskID("t" + strconv.Itoa(w.lastIndex))
+	t.Index = w.lastIndex
 	return &t
 }
 
-// plainNext draws tasks without selectors, preferences and spread.
+// plainNext draws a task without selector, preferences and spread constraint.
 func (w *workload) plainNext() *model.Task {
 	t := w.next()
 	t.SpreadBy, t.Require, t.Prefer = "", nil, nil
 	return t
 }
 
-// placer is a way to choose a worker.
+// placer is a placement policy over its own fleet.
 type placer interface {
 	place(t *model.Task) *fleet.Node
 	ledger() *fleet.Fleet
 }
 
-type sampled struct{ *Scheduler }
+type sampledPlacer struct{ *Scheduler }
 
-func (s sampled) ledger() *fleet.Fleet { return s.Fleet }
+func (s sampledPlacer) ledger() *fleet.Fleet { return s.Fleet }
 
-func (s sampled) place(t *model.Task) *fleet.Node {
+func (s sampledPlacer) place(t *model.Task) *fleet.Node {
 	n, _, _ := s.Scheduler.place(0, t)
 	return n
 }
 
-// fits is the feasibility check of the baselines. It keeps accelerators as the
-// scheduler does, so that all policies play by the same rules.
+// fits is the feasibility check of the baselines. It reserves capacity for accelerators
+// as the scheduler does, so that all policies have the same constraints.
 func fits(t *model.Task, n *fleet.Node) bool {
 	return n.Schedulable() && t.Demand.Fits(n.AvailableFor(t.Demand, false)) && t.Require.Matches(n.Worker.Labels)
 }
@@ -182,20 +183,20 @@
 
 func (p bestFit) ledger() *fleet.Fleet { return p.Fleet }
 
-// place scans all workers for the least that would be left, as a part of the
-// largest worker.
+// place scans all workers for the minimum remaining capacity, relative to the largest
+// worker.
 func (p bestFit) place(t *model.Task) *fleet.Node {
 	var best *fleet.Node
-	least := 0.0
+	minRemaining := 0.0
 	largest := p.Largest()
 	for _, n := range p.Nodes() {
 		if !fits(t, n) {
 			continue
 		}
-		left := n.Free().Sub(t.Demand)
-		sum := float64(left.MilliCPU)/float64(largest.MilliCPU) + float64(left.MemoryMiB)/float64(largest.MemoryMiB)
-		if best == nil || sum < least {
-			best, least = n, sum
+		remaining := n.Free().Sub(t.Demand)
+		sum := float64(remaining.MilliCPU)/float64(largest.MilliCPU) + float64(remaining.MemoryMiB)/float64(largest.MemoryMiB)
+		if best == nil || sum < minRemaining {
+			best, minRemaining = n, sum
 		}
 	}
 	return best
@@ -212,7 +213,7 @@
 	s := New(Config{Seed: benchSeed, Home: model.Location{Region: "region0", Zone: "zone0"}})
 	add(s.Fleet)
 	return map[string]placer{
-		"sampled":        sampled{s},
+		"sampled":        sampledPlacer{s},
 		"randomFeasible": randomFeasible{add(fleet.New()), rand.New(rand.NewPCG(benchSeed, 2))},
 		"firstFitScan":   firstFit{add(fleet.New())},
 		"bestFitScan":    bestFit{add(fleet.New())},
