--- a/internal/scheduler/fleet/search.go
+++ b/internal/scheduler/fleet/search.go
@@ -15,7 +15,6 @@
 }
 
 // add appends a worker.
-
 func (r *freedWorkers) add(n *Node) {
 	r.nodes[r.next%freedRingSize] = n
 	r.next++
--- a/internal/scheduler/fleet/selection.go
+++ b/internal/scheduler/fleet/selection.go
@@ -27,8 +27,10 @@
 	selector model.Selector
 	plain    []*WorkerClass // without accelerators
 	accel    []*WorkerClass
-	residual bool                       // some label isn't indexed and must be checked worker by worker
-	refusals map[model.Resources]uint64 // demands without a feasible worker, and the next sequence number of Fleet.freed then
+	residual bool // some label isn't indexed and must be checked worker by worker
+	// refusals holds demands for which no worker was feasible, with the value of
+	// Fleet.freed.next at that time.
+	refusals map[model.Resources]uint64
 }
 
 // Matches reports whether a worker of the selection's classes matches the whole
--- a/internal/scheduler/queue/queue.go
+++ b/internal/scheduler/queue/queue.go
@@ -83,7 +83,7 @@
 	popped     map[model.TaskID]*item // returned by Pop, not yet settled by the caller
 	parked     map[model.TaskID]*item // waiting for preempted capacity
 	blocked    []blockedLane
-	seq        uint64
+	seq        uint64 // sequence number of the task pushed last
 }
 
 // New returns an empty queue.
