--- a/internal/scheduler/plugin/accelerators/accelerators.go
+++ b/internal/scheduler/plugin/accelerators/accelerators.go
@@ -1,5 +1,5 @@
-// Package accelerators keeps processors and memory of workers with accelerators
-// for work that needs these.
+// Package accelerators reserves processors and memory for tasks that need the free
+// accelerators of a worker.
 package accelerators
 
 import (
@@ -11,8 +11,8 @@
 // Name is the plugin's name in statuses.
 const Name = "accelerators"
 
-// Filter refuses work without accelerators on a worker whose remaining capacity
-// is the part of its free accelerators.
+// Filter refuses a task that needs no accelerator on a worker with accelerators if
+// the task would use capacity reserved for the free ones.
 type Filter struct{}
 
 // Name implements plugin.Filter.
@@ -23,7 +23,7 @@
 	if n.Worker.Capacity.Accelerators == 0 || t.Demand.Accelerators > 0 {
 		return plugin.Status{}
 	}
-	if t.Demand.Fits(n.Room(t.Demand, s.Search.Dedicated())) {
+	if t.Demand.Fits(n.AvailableFor(t.Demand, s.Search.Dedicated())) {
 		return plugin.Status{}
 	}
 	return plugin.Status{Code: plugin.Unfit, Plugin: Name, Reason: "kept for work that needs accelerators"}
