--- a/internal/service/limits/escrow.go
+++ b/internal/service/limits/escrow.go
@@ -9,35 +9,36 @@
 	"pollenbend/internal/wire"
 )
 
-// escrow is the owner's account of one team's ceilings, for one term of its shard.
+// escrow is the shard owner's account of one team's ceilings for one term of the
+// shard.
 type escrow struct {
 	term   uint64
 	grants map[wire.Owner]grant
 }
 
-// grant is the last ceiling sent to a holder. Peak is the highest ceiling among
-// the grants that the holder has not confirmed: any of them may be in force there.
+// grant is the last ceiling sent to a member. Peak is the highest ceiling among the
+// grants that the member has not confirmed: any of them may be in force there.
 type grant struct {
 	seq    uint64
 	peak   int64
-	last   int64         // ceiling of grant seq
-	sentAt time.Duration // of grant seq, 0 once it is confirmed
+	last   int64         // ceiling of the grant with number seq
+	sentAt time.Duration // when the grant with number seq was sent, 0 once it is confirmed
 }
 
-// regrantAfter is how long a grant may go unconfirmed before it is sent again: two
+// regrantTimeout is the time after which an unconfirmed grant is sent again: two
 // heartbeats with the default timing.
-const regrantAfter = time.Second
+const regrantTimeout = time.Second
 
-// OnTick plans the ceilings of the teams that this instance keeps.
+// OnTick plans the ceilings of the teams whose shards this instance owns.
 func (s *Service) OnTick() {
 	if !s.members.Majority() {
-		s.giveUpRoom()
+		s.shrinkCeilings()
 	}
 	if s.env.Now() < s.nextPlan {
 		return
 	}
 	s.nextPlan = s.env.Now() + planInterval
-	s.forgetAsked()
+	s.expireGangDemands()
 	uncovered := int64(-1) // not counted yet
 	for _, team := range s.config.LimitedTeams() {
 		term, ok := s.ownership.Mine(model.ShardOfTeam(team))
@@ -52,76 +53,77 @@
 	}
 }
 
-// giveUpRoom lowers this instance's ceilings to what runs under them. Instances that
-// do not hear it may take it for dead and grant the rest to others.
-func (s *Service) giveUpRoom() {
-	for team, h := range s.held {
-		h.max = min(h.max, s.ledger.Running(team))
-		s.held[team] = h
+// shrinkCeilings reduces this instance's ceilings to the number of tasks running
+// under them. Instances that cannot reach this one may count it as dead and grant
+// the remainder to others.
+func (s *Service) shrinkCeilings() {
+	for team, c := range s.ceilings {
+		c.max = min(c.max, s.ledger.Running(team))
+		s.ceilings[team] = c
 	}
 }
 
-// holding is what the owner believes of one holder of ceilings.
-type holding struct {
+// memberLoad is what the shard owner knows of the tasks of a team on one member.
+type memberLoad struct {
 	owner wire.Owner
-	// bound is the most that the holder may be running, now or after any grant
-	// that is still on its way.
+	// bound is the highest number of tasks that the member may be running, now or after
+	// a grant that it may still receive.
 	bound int64
 	need  int64
-	room  int64 // slots of the workers that the holder covers
+	slots int64 // task slots on the workers that the member covers
 }
 
-// plan moves a team's ceilings towards what its holders need. Uncovered slots may
-// be running its tasks.
+// plan adjusts a team's ceilings towards the needs of the members. All uncovered
+// slots count as used by the team, because they may be running its tasks.
 func (s *Service) plan(team model.TeamID, term uint64, uncovered int64) {
 	if s.env.Now() < s.readyAt[model.ShardOfTeam(team)] {
 		return
 	}
 	e := s.escrowOf(team, term)
-	holdings, ok := s.holdings(team, e)
+	loads, ok := s.memberLoads(team, e)
 	if !ok {
 		return
 	}
 	limit := s.limit(team) - uncovered
 	free := limit
-	for _, h := range holdings {
-		free -= h.bound
+	for _, m := range loads {
+		free -= m.bound
 	}
-	targets := split(limit, holdings)
-	slack := int64(lowerSlack)
-	if shortage(holdings, targets) > free {
+	targets := split(limit, loads)
+	slack := int64(maxExcess)
+	if shortage(loads, targets) > free {
 		slack = 0
 	}
-	for i, h := range holdings {
+	for i, m := range loads {
 		switch target := targets[i]; {
-		case target > h.bound && free > 0:
-			raise := min(target-h.bound, free)
+		case target > m.bound && free > 0:
+			raise := min(target-m.bound, free)
 			free -= raise
-			s.grant(team, e, h.owner, h.bound+raise)
-		case target < h.bound-slack:
-			s.grant(team, e, h.owner, target)
-		case e.unconfirmed(h.owner, s.env.Now()):
-			s.grant(team, e, h.owner, e.grants[h.owner].last)
+			s.grant(team, e, m.owner, m.bound+raise)
+		case target < m.bound-slack:
+			s.grant(team, e, m.owner, target)
+		case e.unconfirmed(m.owner, s.env.Now()):
+			s.grant(team, e, m.owner, e.grants[m.owner].last)
 		}
 	}
 }
 
-// unconfirmed reports whether the last grant to a holder may be lost.
+// unconfirmed reports whether the last grant to a member may have been lost.
 func (e *escrow) unconfirmed(to wire.Owner, now time.Duration) bool {
 	g := e.grants[to]
-	return g.sentAt > 0 && now-g.sentAt >= regrantAfter
+	return g.sentAt > 0 && now-g.sentAt >= regrantTimeout
 }
 
-// shortage returns how much the holders lack of their targets.
-func shortage(holdings []holding, targets []int64) int64 {
+// shortage returns the sum of what the members lack to reach their targets.
+func shortage(loads []memberLoad, targets []int64) int64 {
 	var short int64
-	for i, h := range holdings {
-		short += max(targets[i]-h.bound, 0)
+	for i, m := range loads {
+		short += max(targets[i]-m.bound, 0)
 	}
 	return short
 }
 
-// limit returns the limit to split at this hour.
+// limit returns the limit to split at this hour, noLimit when there is none.
 func (s *Service) limit(team model.TeamID) int64 {
 	if limit := s.config.Limit(team); limit > 0 {
 		return limit
@@ -129,16 +131,16 @@
 	return noLimit
 }
 
-// OnShardMoved makes the new owner of a shard wait one worker lease before its
-// first grant, so that every holder that it does not hear has lost the leases
-// under which it could still start tasks.
+// OnShardMoved makes the new owner of a shard wait for one worker lease before its
+// first grant. By then every instance that it cannot reach has lost the leases under
+// which it could still start tasks.
 func (s *Service) OnShardMoved(m service.ShardMove) {
 	if m.OldTerm != 0 {
 		s.readyAt[m.Shard] = s.env.Now() + s.env.Timing.WorkerLease
 	}
 }
 
-// escrowOf returns the account for the term.
+// escrowOf returns the account for a term. A new term starts with an empty one.
 func (s *Service) escrowOf(team model.TeamID, term uint64) *escrow {
 	e, ok := s.escrows[team]
 	if !ok || e.term != term {
@@ -148,22 +150,25 @@
 	return e
 }
 
-// holdings returns what every live member may be running. It is not ok while a
-// member's report is older than this term: the member might still apply a grant
-// of the owner before.
-func (s *Service) holdings(team model.TeamID, e *escrow) ([]holding, bool) {
-	var list []holding
+// memberLoads returns the load of every live member. It returns false while the
+// report of a member is older than this term, because that member might still apply
+// a grant of the previous owner.
+func (s *Service) memberLoads(team model.TeamID, e *escrow) ([]memberLoad, bool) {
+	var list []memberLoad
 	for _, o := range s.members.Live() {
 		load, applied, ok := s.report(o, team)
 		if !ok || applied < e.term {
 			return nil, false
 		}
-		room := s.room(o)
-		list = append(list, holding{owner: o, bound: bound(load, e, o), need: min(load.Wanted, room), room: room})
+		slots := s.taskSlots(o)
+		list = append(list, memberLoad{owner: o, bound: bound(load, e, o), need: min(load.Wanted, slots), slots: slots})
 	}
 	return list, true
 }
 
+// report returns a member's last load of a team and the log offset that it had applied.
+// It returns false when the member has sent no heartbeat in its current incarnation
+// or its coverage does not match the heartbeat.
 func (s *Service) report(o wire.Owner, team model.TeamID) (load wire.TeamLoad, applied uint64, ok bool) {
 	if o == s.env.Owner() {
 		return s.load(team), s.ownership.Applied(), true
@@ -180,8 +185,9 @@
 	return wire.TeamLoad{Team: team}, m.Beat.Applied, true
 }
 
-// bound is the highest count that a holder may reach: its running tasks, the
-// ceiling it reported, and the last grant unless it reported that very grant.
+// bound returns the highest number of tasks that a member may reach: the maximum of
+// its running tasks, the ceiling that it reported and, unless it reported the last
+// grant, the highest unconfirmed grant.
 func bound(load wire.TeamLoad, e *escrow, o wire.Owner) int64 {
 	b := max(load.Running, load.Ceiling)
 	g, sent := e.grants[o]
@@ -195,6 +201,7 @@
 	return max(b, g.peak)
 }
 
+// grant sends a ceiling to a member, or applies it directly when the member is this instance.
 func (s *Service) grant(team model.TeamID, e *escrow, to wire.Owner, ceiling int64) {
 	g := e.grants[to]
 	g = grant{seq: g.seq + 1, peak: max(g.peak, ceiling), last: ceiling, sentAt: s.env.Now()}
@@ -213,8 +220,8 @@
 	s.env.Send(to.Instance, msg)
 }
 
-// uncovered returns the slots of the listed workers that no live member covers:
-// any of them may be running tasks of any team.
+// uncovered returns the number of task slots on listed workers that no live member
+// covers. Any of them may be running tasks of any team.
 func (s *Service) uncovered() int64 {
 	covered := make(map[model.WorkerID]bool)
 	for _, o := range s.members.Live() {
@@ -241,31 +248,32 @@
 	return wire.Coverage{}
 }
 
-// split divides limit over the holders of workers: to each its need as far as it
-// goes round, the rest in equal parts as room for sudden demand.
-func split(limit int64, holders []holding) []int64 {
-	targets := make([]int64, len(holders))
+// split divides a limit among the members with task slots. Each gets what it needs
+// as far as the limit allows, smallest needs first; what remains is split equally,
+// as a reserve for sudden demand.
+func split(limit int64, members []memberLoad) []int64 {
+	targets := make([]int64, len(members))
 	if limit <= 0 {
 		return targets
 	}
-	var order []int
-	for i, h := range holders {
-		if h.room > 0 {
-			order = append(order, i)
+	var ranked []int
+	for i, m := range members {
+		if m.slots > 0 {
+			ranked = append(ranked, i)
 		}
 	}
-	if len(order) == 0 {
+	if len(ranked) == 0 {
 		return targets
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return int(holders[a].need - holders[b].need) })
-	left := limit
-	for rank, i := range order {
-		part := left / int64(len(order)-rank)
-		targets[i] = min(holders[i].need, part)
-		left -= targets[i]
+	slices.SortStableFunc(ranked, func(a, b int) int { return int(members[a].need - members[b].need) })
+	remaining := limit
+	for rank, i := range ranked {
+		part := remaining / int64(len(ranked)-rank)
+		targets[i] = min(members[i].need, part)
+		remaining -= targets[i]
 	}
-	spare, extra := left/int64(len(order)), left%int64(len(order))
-	for rank, i := range order {
+	spare, extra := remaining/int64(len(ranked)), remaining%int64(len(ranked))
+	for rank, i := range ranked {
 		targets[i] += spare
 		if int64(rank) < extra {
 			targets[i]++
--- a/internal/service/limits/limits.go
+++ b/internal/service/limits/limits.go
@@ -1,13 +1,13 @@
 // Package limits keeps teams within their upper limits across the whole fleet.
 //
 // A limit is held in escrow: the owner of a team's shard splits it into ceilings,
-// one for each instance that holds workers, and an instance never runs more of
-// the team than its ceiling. The sum of the ceilings, plus every slot of every
-// worker whose holder is not heard, never passes the limit. What cannot be
-// reached still counts as used.
+// one for each instance that holds worker leases, and an instance never runs more
+// tasks of the team than its ceiling. The sum of the ceilings plus all task slots of
+// workers whose lease holder is unreachable never exceeds the limit: what cannot be
+// reached counts as used.
 //
-// A limit by the hour follows the clock of the shard's owner alone. A team with a
-// limit at any hour runs under ceilings at all hours.
+// For a limit that depends on the hour, only the clock of the shard owner counts. A
+// team that has a limit at any hour has ceilings at all hours.
 package limits
 
 import (
@@ -23,22 +23,25 @@
 	"pollenbend/internal/wire"
 )
 
-// Config tells the limit in force for a team.
+// Config provides the declared limits.
 type Config interface {
-	// Limit returns the most tasks that a team may run at this hour, 0 for no
+	// Limit returns the maximum number of running tasks of a team at this hour, 0 for no
 	// limit.
 	Limit(model.TeamID) int64
-	// Limited reports whether a team has a limit at any hour, whatever the clock.
+	// Limited reports whether a team has a limit at any hour. It does not depend on the
+	// clock.
 	Limited(model.TeamID) bool
+	// LimitedTeams returns the teams with a limit at any hour, sorted.
 	LimitedTeams() []model.TeamID
-	// MaxLimit returns the highest limit declared for any hour, 0 when there is an
-	// hour without one.
+	// MaxLimit returns the highest limit declared for any hour, 0 when there is an hour
+	// without a limit.
 	MaxLimit(model.TeamID) int64
-	// Fresh reports whether the declarations known here are recent.
+	// Fresh reports whether the declarations known to this instance are recent enough to
+	// accept work.
 	Fresh() bool
 }
 
-// Ledger tells what runs here.
+// Ledger provides the tasks and workers of this instance.
 type Ledger interface {
 	Running(model.TeamID) int64
 	Usage(model.TeamID) model.Resources
@@ -47,21 +50,22 @@
 	Roster() map[model.WorkerID]model.Worker
 }
 
-// Ownership tells who keeps a team's limit.
+// Ownership provides the shard owners, which are responsible for the limits of
+// teams.
 type Ownership interface {
 	Mine(model.Shard) (term uint64, ok bool)
 	Owner(model.Shard) (ownership.Slot, bool)
 	Applied() uint64
 }
 
-// Members tells who lives and what they reported.
+// Members provides the live members and their last reports.
 type Members interface {
 	Live() []wire.Owner
 	Member(model.InstanceID) (*membership.Member, bool)
 	Majority() bool
 }
 
-// Demand tells how many tasks of a team wait at this instance.
+// Demand provides the number of tasks of a team that wait at this instance.
 type Demand interface {
 	Waiting(model.TeamID) int64
 }
@@ -75,15 +79,15 @@
 	members   Members
 	demand    Demand
 
-	held     map[model.TeamID]ceiling
-	sheds    map[model.TeamID][]shed
-	beat     uint64                 // of the last heartbeat sent
-	blocked  map[model.TeamID]int64 // starts refused since the last heartbeat
-	recent   map[model.TeamID]int64 // starts refused between the two heartbeats before
-	asked    map[model.TeamID]asked
-	escrows  map[model.TeamID]*escrow
-	readyAt  [model.Shards]time.Duration // when a gained shard's owner may grant
-	nextPlan time.Duration
+	ceilings      map[model.TeamID]ceiling
+	reductions    map[model.TeamID][]reduction
+	beat          uint64                 // sequence number of the last heartbeat sent
+	blocked       map[model.TeamID]int64 // starts refused since the last heartbeat
+	blockedBefore map[model.TeamID]int64 // starts refused between the two heartbeats before it
+	gangDemands   map[model.TeamID]gangDemand
+	escrows       map[model.TeamID]*escrow
+	readyAt       [model.Shards]time.Duration // when the new owner of a shard may start to grant
+	nextPlan      time.Duration
 }
 
 // ceiling is this instance's part of a team's limit.
@@ -91,34 +95,35 @@
 	term  uint64
 	seq   uint64
 	max   int64
-	limit int64 // that max is a part of
+	limit int64 // limit of which max is a part
 }
 
 const (
 	planInterval = 100 * time.Millisecond
-	// lowerSlack is how far a ceiling may stand above its target before it is
-	// called back, while no one is short of it.
-	lowerSlack = 1
-	// noLimit is split in hours without a limit; it is more than any fleet runs.
+	// maxExcess is the number of tasks by which a ceiling may exceed its target without
+	// being reduced, as long as no member needs them.
+	maxExcess = 1
+	// noLimit is split in hours without a limit. It is higher than the number of tasks
+	// any fleet can run.
 	noLimit = int64(1) << 40
 )
 
 // New returns the limits service.
 func New(env *event.Env) *Service {
 	return &Service{
-		env:     env,
-		held:    make(map[model.TeamID]ceiling),
-		sheds:   make(map[model.TeamID][]shed),
-		blocked: make(map[model.TeamID]int64),
-		asked:   make(map[model.TeamID]asked),
-		escrows: make(map[model.TeamID]*escrow),
+		env:         env,
+		ceilings:    make(map[model.TeamID]ceiling),
+		reductions:  make(map[model.TeamID][]reduction),
+		blocked:     make(map[model.TeamID]int64),
+		gangDemands: make(map[model.TeamID]gangDemand),
+		escrows:     make(map[model.TeamID]*escrow),
 	}
 }
 
 // Name implements kernel.Service.
 func (s *Service) Name() string { return service.Limits }
 
-// Bind finds the services that this one works with.
+// Bind looks up the services that this one uses. It returns an error when one is missing.
 func (s *Service) Bind(k *kernel.Kernel) (err error) {
 	if s.config, err = kernel.Find[Config](k, service.Config); err != nil {
 		return err
@@ -141,7 +146,7 @@
 	if !s.config.Limited(team) {
 		return true
 	}
-	if s.config.Fresh() && s.ledger.Running(team) < s.hold(team).max {
+	if s.config.Fresh() && s.ledger.Running(team) < s.currentCeiling(team).max {
 		return true
 	}
 	s.blocked[team]++
@@ -159,28 +164,28 @@
 	if g.To != s.env.Self.Incarnation {
 		return
 	}
-	h := s.hold(g.Team)
-	slot, _ := s.ownership.Owner(model.ShardOfTeam(g.Team))
-	if g.Term < slot.Term || g.Term < h.term || g.Term == h.term && g.Seq <= h.seq {
+	c := s.currentCeiling(g.Team)
+	owner, _ := s.ownership.Owner(model.ShardOfTeam(g.Team))
+	if g.Term < owner.Term || g.Term < c.term || g.Term == c.term && g.Seq <= c.seq {
 		return
 	}
-	most := max(g.Ceiling-s.unknownSheds(g.Team, g.Beat), 0)
-	s.held[g.Team] = ceiling{term: g.Term, seq: g.Seq, max: most, limit: g.Limit}
+	limit := max(g.Ceiling-s.unreportedReductions(g.Team, g.Beat), 0)
+	s.ceilings[g.Team] = ceiling{term: g.Term, seq: g.Seq, max: limit, limit: g.Limit}
 }
 
-// FillBeat reports running tasks, ceilings and demand by team.
+// FillBeat adds the running tasks, ceiling and demand of each team to a heartbeat.
 func (s *Service) FillBeat(b *wire.Heartbeat) {
 	s.beat = b.Seq
 	b.Teams = s.loads()
-	s.recent, s.blocked = s.blocked, make(map[model.TeamID]int64)
+	s.blockedBefore, s.blocked = s.blocked, make(map[model.TeamID]int64)
 }
 
 func (s *Service) loads() []wire.TeamLoad {
 	teams := s.ledger.Teams()
-	for t := range s.held {
+	for t := range s.ceilings {
 		teams = append(teams, t)
 	}
-	for t := range s.asked {
+	for t := range s.gangDemands {
 		teams = append(teams, t)
 	}
 	for t := range s.blocked {
@@ -196,17 +201,17 @@
 }
 
 func (s *Service) load(team model.TeamID) wire.TeamLoad {
-	h := s.hold(team)
+	c := s.currentCeiling(team)
 	running, waiting := s.ledger.Running(team), s.demand.Waiting(team)
 	return wire.TeamLoad{
 		Team: team, Running: running, Waiting: waiting, Usage: s.ledger.Usage(team),
-		Ceiling: h.max, GrantTerm: h.term, GrantSeq: h.seq,
-		Wanted: running + max(waiting+max(s.blocked[team], s.recent[team]), s.asked[team].count),
+		Ceiling: c.max, GrantTerm: c.term, GrantSeq: c.seq,
+		Wanted: running + max(waiting+max(s.blocked[team], s.blockedBefore[team]), s.gangDemands[team].count),
 	}
 }
 
-// room returns the slots of the workers that a member covers.
-func (s *Service) room(o wire.Owner) int64 {
+// taskSlots returns the number of task slots on the workers that a member covers.
+func (s *Service) taskSlots(o wire.Owner) int64 {
 	roster := s.ledger.Roster()
 	var slots int64
 	for _, id := range s.coverageOf(o).Workers {
