--- a/internal/service/jobs/jobs.go
+++ b/internal/service/jobs/jobs.go
@@ -1,6 +1,6 @@
-// Package jobs keeps the jobs accepted for later. A job is accepted once its
-// record is in the log; every instance folds the same jobs, and the owner of a
-// job's shard runs its tasks and records their ends.
+// Package jobs keeps the jobs that were accepted for later execution. A job is
+// accepted once its record is in the log. Every instance replays the same records;
+// the owner of a job's shard runs its tasks and records which of them ended.
 package jobs
 
 import (
@@ -16,7 +16,7 @@
 	"pollenbend/internal/wire"
 )
 
-// Ownership tells which shards are owned here.
+// Ownership provides the shards that this instance owns.
 type Ownership interface {
 	Mine(model.Shard) (term uint64, ok bool)
 }
@@ -38,13 +38,13 @@
 	tasks     Tasks
 
 	jobs    map[key]*job
-	order   []key // keys of jobs in the order accepted
+	order   []key // keys of jobs in order of acceptance
 	waiting map[key]*submission
-	appends map[uint64][]key // append id to the submissions in it
-	ended   map[key]*ends
+	appends map[uint64][]key // append id to the jobs submitted or canceled with it
+	ended   map[key]*endedTasks
 	flushAt time.Duration
 	flushID uint64
-	flushed map[key]*ends // in the outstanding progress record
+	flushed map[key]*endedTasks // in the progress records of the append in flight
 }
 
 type key struct {
@@ -52,16 +52,17 @@
 	id   model.JobID
 }
 
-// job is the fold of one job's records.
+// job is the state of a job, built from its records.
 type job struct {
 	spec     model.Job
-	done     map[int]bool // index to success
+	done     map[int]bool // task index to success
 	failed   int
 	canceled bool
 	endedAt  time.Duration
 }
 
-// submission is a job whose record is not read back yet.
+// submission is a job whose acceptance or cancellation has not been read back from
+// the log yet.
 type submission struct {
 	callers  []requests.Caller
 	deadline time.Duration
@@ -81,14 +82,14 @@
 		jobs:    make(map[key]*job),
 		waiting: make(map[key]*submission),
 		appends: make(map[uint64][]key),
-		ended:   make(map[key]*ends),
+		ended:   make(map[key]*endedTasks),
 	}
 }
 
 // Name implements kernel.Service.
 func (s *Service) Name() string { return service.Jobs }
 
-// Bind finds the services that this one works with.
+// Bind looks up the services that this one uses. It returns an error when one is missing.
 func (s *Service) Bind(k *kernel.Kernel) (err error) {
 	if s.ownership, err = kernel.Find[Ownership](k, service.Ownership); err != nil {
 		return err
@@ -101,8 +102,8 @@
 
 func (k key) shard() model.Shard { return model.ShardOfRequest(k.team, string(k.id)) }
 
-// Submit appends a job's record. The caller hears that the job is accepted once
-// the record has been read back.
+// Submit appends a job's record. The caller gets the answer once the record has been
+// read back.
 func (s *Service) Submit(c requests.Caller, spec model.Job) {
 	k := keyOf(spec)
 	if j, ok := s.jobs[k]; ok {
@@ -119,7 +120,7 @@
 	w.callers = append(w.callers, c)
 }
 
-// accepted answers for a job that is in the log.
+// accepted returns the answer to the submission of a job that is in the log.
 func (s *Service) accepted(k key, j *job, spec model.Job) model.Answer {
 	if j.spec.Count != spec.Count || string(j.spec.Template.Payload) != string(spec.Template.Payload) {
 		return model.Refusal(string(k.id), verdict.Refuse(verdict.CodeConflict, "the id was used for another job"))
@@ -127,7 +128,7 @@
 	return s.state(k, j)
 }
 
-// OnRecord folds the records of jobs.
+// OnRecord applies the records of jobs.
 func (s *Service) OnRecord(_ uint64, r wire.Record) {
 	switch r := r.(type) {
 	case wire.JobAccepted:
@@ -147,7 +148,7 @@
 		s.jobs[k] = j
 		s.order = append(s.order, k)
 		if _, mine := s.ownership.Mine(k.shard()); mine {
-			s.run(j, false)
+			s.addTasks(j, false)
 		}
 	}
 	if w, ok := s.waiting[k]; ok {
@@ -158,8 +159,8 @@
 	}
 }
 
-// run hands the tasks that have not ended to the coordinator.
-func (s *Service) run(j *job, check bool) {
+// addTasks passes the tasks that have not ended to the coordinator.
+func (s *Service) addTasks(j *job, check bool) {
 	for i := range j.spec.Count {
 		if _, ended := j.done[i]; !ended {
 			s.tasks.AddTask(j.spec, i, check)
@@ -173,17 +174,17 @@
 		return
 	}
 	for _, i := range r.Done {
-		s.end(j, i, true)
+		s.endTask(j, i, true)
 	}
 	for _, i := range r.Failed {
-		s.end(j, i, false)
+		s.endTask(j, i, false)
 	}
 	if len(j.done) == j.spec.Count && j.endedAt == 0 {
 		j.endedAt = max(s.env.Now(), 1)
 	}
 }
 
-func (s *Service) end(j *job, index int, success bool) {
+func (s *Service) endTask(j *job, index int, success bool) {
 	if _, ended := j.done[index]; ended {
 		return
 	}
@@ -211,11 +212,11 @@
 		}
 	}
 	if _, mine := s.ownership.Mine(k.shard()); mine {
-		s.stop(j)
+		s.cancelTasks(j)
 	}
 }
 
-func (s *Service) stop(j *job) {
+func (s *Service) cancelTasks(j *job) {
 	for i := range j.spec.Count {
 		if _, ended := j.done[i]; !ended {
 			s.tasks.CancelTask(taskOf(j.spec, i))
@@ -223,8 +224,8 @@
 	}
 }
 
-// OnShardMoved takes over the jobs of a gained shard. Their tasks may have been
-// started by the owner before.
+// OnShardMoved takes over the jobs of a shard that this instance now owns. The
+// previous owner may have started their tasks.
 func (s *Service) OnShardMoved(m service.ShardMove) {
 	if m.After != s.env.Owner() {
 		return
@@ -234,9 +235,9 @@
 		if k.shard() != m.Shard || j.endedAt > 0 {
 			continue
 		}
-		s.run(j, true)
+		s.addTasks(j, true)
 		if j.canceled {
-			s.stop(j)
+			s.cancelTasks(j)
 		}
 	}
 }
@@ -262,7 +263,7 @@
 	}
 }
 
-// forgetOld drops jobs that ended longer ago than the retention.
+// forgetOld removes jobs that ended longer ago than the retention time.
 func (s *Service) forgetOld(now time.Duration) {
 	s.order = slices.DeleteFunc(s.order, func(k key) bool {
 		j := s.jobs[k]
@@ -274,7 +275,7 @@
 	})
 }
 
-// Cancel starts to cancel a job. It reports whether there is such a job.
+// Cancel starts the cancellation of a job. It reports whether the job exists.
 func (s *Service) Cancel(c requests.Caller, team model.TeamID, id model.JobID) bool {
 	k := key{team, id}
 	j, ok := s.jobs[k]
--- a/internal/service/jobs/progress.go
+++ b/internal/service/jobs/progress.go
@@ -12,18 +12,19 @@
 	"pollenbend/internal/wire"
 )
 
-// ends are ended tasks that no progress record holds yet.
-type ends struct {
+// endedTasks are the ended tasks of a job that no progress record contains yet, as
+// task indexes.
+type endedTasks struct {
 	done   []int
 	failed []int
 }
 
-// TaskEnded notes a task's end for the next progress record.
+// TaskEnded adds a task's end to the next progress record.
 func (s *Service) TaskEnded(t model.Task, a model.Answer) {
 	k := key{t.Team, t.Job}
 	e, ok := s.ended[k]
 	if !ok {
-		e = &ends{}
+		e = &endedTasks{}
 		s.ended[k] = e
 	}
 	if a.Verdict == verdict.Done && a.Code == verdict.CodeOK {
@@ -33,7 +34,8 @@
 	}
 }
 
-// OnTick writes progress records and ends submissions whose time is up.
+// OnTick writes progress records, answers submissions whose deadline has passed and
+// removes old jobs.
 func (s *Service) OnTick() {
 	now := s.env.Now()
 	s.expireSubmissions(now)
@@ -44,12 +46,12 @@
 	s.flush(now)
 }
 
-// flush appends the ends gathered so far. Ends of an append that failed are
-// written again; folding them twice changes nothing.
+// flush appends the ends collected so far. The ends of a failed append are written
+// again; applying them twice changes nothing.
 func (s *Service) flush(now time.Duration) {
 	s.flushAt = now + flushInterval
 	s.flushed = s.ended
-	s.ended = make(map[key]*ends)
+	s.ended = make(map[key]*endedTasks)
 	var records []wire.Record
 	for _, k := range sortedKeys(s.flushed) {
 		e := s.flushed[k]
@@ -58,21 +60,21 @@
 	s.flushID = s.env.Append(records...)
 }
 
-// sortedKeys returns a map's keys in order, so that the same events always give
-// the same actions.
+// sortedKeys returns a map's keys in sorted order, so that the same events always
+// produce the same actions.
 func sortedKeys[V any](m map[key]V) []key {
 	return slices.SortedFunc(maps.Keys(m), func(a, b key) int {
 		return cmp.Or(cmp.Compare(a.team, b.team), cmp.Compare(a.id, b.id))
 	})
 }
 
-// OnAppendDone settles submissions that certainly are not in the log, and gathers
-// progress again that may not be.
+// OnAppendDone refuses submissions that are certainly not in the log. Progress that
+// may not be in the log is added to the next progress record.
 func (s *Service) OnAppendDone(d event.AppendDone) {
 	if d.ID == s.flushID {
 		s.flushID = 0
 		if d.Verdict != verdict.Done {
-			s.gatherAgain()
+			s.requeueFlushed()
 		}
 		s.flushed = nil
 		return
@@ -87,14 +89,14 @@
 	}
 }
 
-func (s *Service) gatherAgain() {
+func (s *Service) requeueFlushed() {
 	for k, e := range s.flushed {
-		again, ok := s.ended[k]
+		pending, ok := s.ended[k]
 		if !ok {
-			again = &ends{}
-			s.ended[k] = again
+			pending = &endedTasks{}
+			s.ended[k] = pending
 		}
-		again.done = append(again.done, e.done...)
-		again.failed = append(again.failed, e.failed...)
+		pending.done = append(pending.done, e.done...)
+		pending.failed = append(pending.failed, e.failed...)
 	}
 }
--- a/internal/service/jobs/snapshot.go
+++ b/internal/service/jobs/snapshot.go
@@ -11,7 +11,7 @@
 	"pollenbend/internal/service"
 )
 
-// jobsSnapshot holds every job that is remembered, in the order accepted.
+// jobsSnapshot contains every remembered job, in order of acceptance.
 type jobsSnapshot struct {
 	Jobs []jobSnapshot `cbor:"1,keyasint"`
 }
@@ -31,29 +31,30 @@
 	var snap jobsSnapshot
 	for _, k := range s.order {
 		j := s.jobs[k]
-		line := jobSnapshot{Spec: j.spec, Canceled: j.canceled}
+		entry := jobSnapshot{Spec: j.spec, Canceled: j.canceled}
 		for _, i := range slices.Sorted(maps.Keys(j.done)) {
 			if j.done[i] {
-				line.Done = append(line.Done, i)
+				entry.Done = append(entry.Done, i)
 			} else {
-				line.Failed = append(line.Failed, i)
+				entry.Failed = append(entry.Failed, i)
 			}
 		}
-		snap.Jobs = append(snap.Jobs, line)
+		snap.Jobs = append(snap.Jobs, entry)
 	}
 	data, err := cbor.Marshal(snap)
 	if err != nil {
-		panic(err) // jobs always have an encoding
+		panic(err) // jobs can always be encoded
 	}
 	return data
 }
 
-// Restore implements service.Snapshotter. A job that the later state lacks has
-// ended and was forgotten. The tasks of others may have been started already.
+// Restore implements service.Snapshotter. A job that is missing from the later state
+// has ended and was removed. Other instances may have started tasks of the restored
+// jobs already. It returns an error when data is malformed.
 func (s *Service) Restore(data []byte) error {
 	var snap jobsSnapshot
 	if err := cbor.Unmarshal(data, &snap); err != nil {
-		return errors.Wrap(err, "read the jobs")
+		return errors.Wrap(err, "decode jobs snapshot")
 	}
 	kept := make(map[key]bool, len(snap.Jobs))
 	for _, line := range snap.Jobs {
@@ -79,34 +80,34 @@
 	delete(s.jobs, k)
 }
 
-// restore brings one job up to the later state.
-func (s *Service) restore(line jobSnapshot) {
-	k := keyOf(line.Spec)
+// restore updates one job to its state in the snapshot.
+func (s *Service) restore(entry jobSnapshot) {
+	k := keyOf(entry.Spec)
 	j, known := s.jobs[k]
 	if !known {
-		j = &job{spec: line.Spec, done: make(map[int]bool)}
+		j = &job{spec: entry.Spec, done: make(map[int]bool)}
 		s.jobs[k] = j
 		s.order = append(s.order, k)
 	}
-	for _, i := range line.Done {
-		s.end(j, i, true)
+	for _, i := range entry.Done {
+		s.endTask(j, i, true)
 	}
-	for _, i := range line.Failed {
-		s.end(j, i, false)
+	for _, i := range entry.Failed {
+		s.endTask(j, i, false)
 	}
 	if len(j.done) == j.spec.Count && j.endedAt == 0 {
 		j.endedAt = max(s.env.Now(), 1)
 	}
 	if _, mine := s.ownership.Mine(k.shard()); mine && !known && j.endedAt == 0 {
-		s.run(j, true)
+		s.addTasks(j, true)
 	}
-	if line.Canceled {
+	if entry.Canceled {
 		s.cancel(k)
 	}
 	s.settleWaiting(k, j)
 }
 
-// settleWaiting answers callers whose job the restored state has.
+// settleWaiting answers callers whose job is in the restored state.
 func (s *Service) settleWaiting(k key, j *job) {
 	w, ok := s.waiting[k]
 	if !ok {
--- a/internal/service/jobs/snapshot_test.go
+++ b/internal/service/jobs/snapshot_test.go
@@ -12,55 +12,55 @@
 	"pollenbend/internal/wire"
 )
 
-type noShards struct{}
+type noOwnership struct{}
 
-func (noShards) Mine(model.Shard) (uint64, bool) { return 0, false }
+func (noOwnership) Mine(model.Shard) (uint64, bool) { return 0, false }
 
-type noTasks struct{ forgotten []model.TaskID }
+type fakeTasks struct{ forgotten []model.TaskID }
 
-func (*noTasks) AddTask(model.Job, int, bool)           {}
-func (*noTasks) CancelTask(model.TaskID)                {}
-func (t *noTasks) Forget(id model.TaskID)               { t.forgotten = append(t.forgotten, id) }
-func (*noTasks) Reply(requests.Caller, model.Answer)    {}
-func (*noTasks) Why([]model.TaskID) []byte              { return nil }
-func (*noTasks) Phases([]model.TaskID) (waiting, r int) { return 0, 0 }
+func (*fakeTasks) AddTask(model.Job, int, bool)           {}
+func (*fakeTasks) CancelTask(model.TaskID)                {}
+func (t *fakeTasks) Forget(id model.TaskID)               { t.forgotten = append(t.forgotten, id) }
+func (*fakeTasks) Reply(requests.Caller, model.Answer)    {}
+func (*fakeTasks) Why([]model.TaskID) []byte              { return nil }
+func (*fakeTasks) Phases([]model.TaskID) (waiting, r int) { return 0, 0 }
 
-func newJobs() (*Service, *noTasks) {
-	tasks := &noTasks{}
+func newTestService() (*Service, *fakeTasks) {
+	tasks := &fakeTasks{}
 	s := New(event.NewEnv(platform.Instance{ID: "a"}, event.Timing{}, 1))
-	s.ownership, s.tasks = noShards{}, tasks
+	s.ownership, s.tasks = noOwnership{}, tasks
 	return s, tasks
 }
 
-func accepted(id model.JobID) wire.JobAccepted {
+func acceptedRecord(id model.JobID) wire.JobAccepted {
 	return wire.JobAccepted{Job: model.Job{ID: id, Count: 3, Template: model.Task{Team: "t"}}}
 }
 
-// TestRestoredJobsEqualFollowedOnes restores behind, beside and beyond what a
-// follower knows.
-func TestRestoredJobsEqualFollowedOnes(t *testing.T) {
+// TestRestoreMatchesReplay restores a snapshot on instances that have replayed some,
+// all or other records, and expects the same state as after a complete replay.
+func TestRestoreMatchesReplay(t *testing.T) {
 	records := []wire.Record{
-		accepted("one"), accepted("two"),
+		acceptedRecord("one"), acceptedRecord("two"),
 		wire.JobProgress{Team: "t", Job: "one", Done: []int{0, 2}, Failed: []int{1}},
 		wire.JobCanceled{Team: "t", Job: "two"},
 		wire.JobProgress{Team: "t", Job: "two", Failed: []int{0}},
-		accepted("three"),
+		acceptedRecord("three"),
 	}
-	full, _ := newJobs()
+	full, _ := newTestService()
 	for i, r := range records {
 		full.OnRecord(uint64(i+1), r)
 	}
-	for followed := range records {
-		late, _ := newJobs()
-		for i, r := range records[:followed] {
+	for replayed := range records {
+		late, _ := newTestService()
+		for i, r := range records[:replayed] {
 			late.OnRecord(uint64(i+1), r)
 		}
 		require.NoError(t, late.Restore(full.Snapshot()))
-		require.Equal(t, full.Snapshot(), late.Snapshot(), "after %d records", followed)
+		require.Equal(t, full.Snapshot(), late.Snapshot(), "after %d records", replayed)
 		require.Equal(t, full.jobs[key{"t", "one"}], late.jobs[key{"t", "one"}])
 	}
-	late, tasks := newJobs()
-	late.OnRecord(1, accepted("ended and forgotten"))
+	late, tasks := newTestService()
+	late.OnRecord(1, acceptedRecord("ended and forgotten"))
 	require.NoError(t, late.Restore(full.Snapshot()))
 	require.Equal(t, full.Snapshot(), late.Snapshot())
 	require.Contains(t, tasks.forgotten, model.TaskIDOf("t", "ended and forgotten", 2))
--- a/internal/service/jobs/status.go
+++ b/internal/service/jobs/status.go
@@ -7,7 +7,8 @@
 	"pollenbend/internal/verdict"
 )
 
-// Document describes a job in status answers.
+// Document describes a job in status answers. Waiting and Running count the tasks
+// that have not ended; Why explains the wait.
 type Document struct {
 	Count    int             `json:"count"`
 	Done     int             `json:"done"`
@@ -18,7 +19,8 @@
 	Why      json.RawMessage `json:"why,omitempty"`
 }
 
-// Status returns the state of a job.
+// Status returns the state of a job, with an explanation of the wait if why is set.
+// It returns false when the job is unknown.
 func (s *Service) Status(team model.TeamID, id model.JobID, why bool) (model.Answer, bool) {
 	k := key{team, id}
 	j, ok := s.jobs[k]
