--- a/internal/service/ownership/ownership.go
+++ b/internal/service/ownership/ownership.go
@@ -1,6 +1,7 @@
-// Package ownership keeps the table of shards: which instance owns each, and in
-// which term. The table is a fold of the log, so it is the same on every instance
-// that has read equally far, and the log's offsets decide between racing claims.
+// Package ownership keeps the table of shards: which instance owns each shard and in
+// which term. The table is built from the log, so it is the same on every instance
+// that has applied the log to the same offset, and the order of the log decides
+// between concurrent claims.
 package ownership
 
 import (
@@ -17,14 +18,14 @@
 	"pollenbend/internal/wire"
 )
 
-// Slot is one shard's line in the table. Term is 0 for a shard that never had an
+// Slot is the table entry of one shard. Term is 0 for a shard that has never had an
 // owner.
 type Slot struct {
 	Owner wire.Owner
 	Term  uint64
 }
 
-// Members is what this service needs of the membership service.
+// Members provides the members of the cell.
 type Members interface {
 	IsLive(o wire.Owner) bool
 	Eligible() []wire.Owner
@@ -38,12 +39,12 @@
 	members   Members
 	listeners []service.ShardHandler
 
-	slots   [model.Shards]Slot
-	applied uint64 // offset of the last entry applied
-	head    uint64 // next offset of the log, as last read
-	logAt   time.Duration
+	table   [model.Shards]Slot
+	applied uint64        // offset of the last log entry applied
+	logNext uint64        // next offset of the log, as of the last read
+	logAt   time.Duration // when the log last answered
 
-	claim     uint64 // id of the outstanding append, 0 when none
+	claimID   uint64 // append id of the claim in flight, 0 when there is none
 	claimAt   time.Duration
 	backoff   time.Duration
 	nextClaim time.Duration
@@ -63,53 +64,53 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return service.Ownership }
 
-// Bind finds the services that this one works with.
+// Bind looks up the services that this one uses. It returns an error when one is missing.
 func (s *Service) Bind(k *kernel.Kernel) (err error) {
 	s.listeners = kernel.All[service.ShardHandler](k)
 	s.members, err = kernel.Find[Members](k, service.Membership)
 	return err
 }
 
-// OnLog notes how far the log reaches.
+// OnLog stores how far the log reaches.
 func (s *Service) OnLog(l service.LogState) {
-	s.head = l.Next
+	s.logNext = l.Next
 	s.logAt = s.env.Now()
 }
 
-// OnRecord folds claims and handovers.
+// OnRecord applies claims and handovers.
 func (s *Service) OnRecord(offset uint64, r wire.Record) {
 	switch r := r.(type) {
 	case wire.Claim:
 		for _, st := range r.Shards {
-			s.move(st, r.Owner, offset, false)
+			s.reassign(st, r.Owner, offset, false)
 		}
 	case wire.Handover:
 		for _, st := range r.Shards {
-			if int(st.Shard) < len(s.slots) && s.slots[st.Shard].Owner == r.From {
-				s.move(st, r.To, offset, true)
+			if int(st.Shard) < len(s.table) && s.table[st.Shard].Owner == r.From {
+				s.reassign(st, r.To, offset, true)
 			}
 		}
 	}
 }
 
-// OnEntry notes that everything up to offset is applied.
+// OnEntry stores that the log is applied up to offset.
 func (s *Service) OnEntry(offset uint64) { s.applied = offset }
 
-// move gives a shard a new owner if it is still at the term that the record
-// replaces. Terms only grow, because offsets do.
-func (s *Service) move(st wire.ShardTerm, to wire.Owner, offset uint64, planned bool) {
-	if int(st.Shard) >= len(s.slots) || s.slots[st.Shard].Term != st.Term {
+// reassign gives a shard a new owner if it is still at the term that the record
+// replaces. Terms only increase, because they are log offsets.
+func (s *Service) reassign(st wire.ShardTerm, to wire.Owner, offset uint64, planned bool) {
+	if int(st.Shard) >= len(s.table) || s.table[st.Shard].Term != st.Term {
 		return
 	}
-	s.moved(st.Shard, Slot{Owner: to, Term: offset}, service.ShardMove{OldTerm: st.Term, Planned: planned})
+	s.setOwner(st.Shard, Slot{Owner: to, Term: offset}, service.ShardMove{OldTerm: st.Term, Planned: planned})
 }
 
-// moved changes a line of the table and tells the other services how.
-func (s *Service) moved(shard model.Shard, after Slot, how service.ShardMove) {
-	before := s.slots[shard]
-	s.slots[shard] = after
-	how.Shard, how.Term = shard, after.Term
-	how.Before, how.After = before.Owner, after.Owner
+// setOwner changes the entry of a shard and notifies the other services.
+func (s *Service) setOwner(shard model.Shard, after Slot, move service.ShardMove) {
+	before := s.table[shard]
+	s.table[shard] = after
+	move.Shard, move.Term = shard, after.Term
+	move.Before, move.After = before.Owner, after.Owner
 	if after.Owner == s.env.Owner() || before.Owner == s.env.Owner() {
 		s.env.Note(event.Note{
 			Kind: "shard-moved", Subject: fmt.Sprintf("shard/%d", shard), Offset: after.Term,
@@ -117,11 +118,12 @@
 		})
 	}
 	for _, l := range s.listeners {
-		l.OnShardMoved(how)
+		l.OnShardMoved(move)
 	}
 }
 
-// OnTick claims shards that have no living owner and fall to this instance.
+// OnTick claims shards that have no live owner and for which this instance is the
+// target.
 func (s *Service) OnTick() {
 	now := s.env.Now()
 	if !s.started {
@@ -130,20 +132,20 @@
 	if !s.mayClaim(now) {
 		return
 	}
-	orphans := s.orphansForMe()
-	if len(orphans) == 0 {
+	claimable := s.claimableShards()
+	if len(claimable) == 0 {
 		return
 	}
-	s.claim = s.env.Append(wire.Claim{Owner: s.env.Owner(), Shards: orphans})
+	s.claimID = s.env.Append(wire.Claim{Owner: s.env.Owner(), Shards: claimable})
 	s.claimAt = now
-	s.env.Note(event.Note{Kind: "claim", Subject: string(s.env.Self.ID), Detail: fmt.Sprintf("%d shards", len(orphans))})
+	s.env.Note(event.Note{Kind: "claim", Subject: string(s.env.Self.ID), Detail: fmt.Sprintf("%d shards", len(claimable))})
 }
 
-// mayClaim reports whether this instance knows enough to claim: it has listened
-// for a while, has read the log to its end, hears most of the others and awaits
-// no claim.
+// mayClaim reports whether this instance knows enough to claim: it has received
+// heartbeats for at least Timing.DeadAfter, has applied the log to its end, can
+// reach a majority of the listed instances and has no claim in flight.
 func (s *Service) mayClaim(now time.Duration) bool {
-	if s.claim != 0 && now-s.claimAt < claimTimeout {
+	if s.claimID != 0 && now-s.claimAt < claimTimeout {
 		return false
 	}
 	if now < s.nextClaim || now-s.startedAt < s.env.Timing.DeadAfter {
@@ -152,49 +154,52 @@
 	return s.CaughtUp() && s.members.Majority() && !s.members.Leaving()
 }
 
-// CaughtUp reports whether the log answered lately and is applied to its end.
+// CaughtUp reports whether the log answered within Timing.DeadAfter and is applied
+// to its end.
 func (s *Service) CaughtUp() bool {
 	fresh := s.logAt > 0 && s.env.Now()-s.logAt < s.env.Timing.DeadAfter
-	return fresh && s.applied+1 >= s.head
+	return fresh && s.applied+1 >= s.logNext
 }
 
-func (s *Service) orphansForMe() []wire.ShardTerm {
+// claimableShards returns the shards without a live owner whose target is this instance.
+func (s *Service) claimableShards() []wire.ShardTerm {
 	eligible := s.members.Eligible()
 	var mine []wire.ShardTerm
-	for i, slot := range s.slots {
-		if slot.Term != 0 && s.members.IsLive(slot.Owner) {
+	for i, entry := range s.table {
+		if entry.Term != 0 && s.members.IsLive(entry.Owner) {
 			continue
 		}
 		shard := model.Shard(i)
 		if target, ok := Target(shard, eligible); ok && target == s.env.Owner() {
-			mine = append(mine, wire.ShardTerm{Shard: shard, Term: slot.Term})
+			mine = append(mine, wire.ShardTerm{Shard: shard, Term: entry.Term})
 		}
 	}
 	return mine
 }
 
-// Target returns the member to which a shard falls: the one with the highest
-// hash, so that few shards move when a member comes or goes.
+// Target returns the member that is to own a shard: the one with the highest hash,
+// so that few shards move when a member joins or leaves. It returns false when there
+// are no members.
 func Target(shard model.Shard, members []wire.Owner) (wire.Owner, bool) {
 	var best wire.Owner
-	var top uint64
+	var highest uint64
 	for _, m := range members {
 		h := xxhash.Sum64String(string(m.Instance) + "#" + string(rune(shard)))
-		if best.Instance == "" || h > top {
-			best, top = m, h
+		if best.Instance == "" || h > highest {
+			best, highest = m, h
 		}
 	}
 	return best, best.Instance != ""
 }
 
-// OnAppendDone ends the outstanding claim. Whether it took effect shows in the
-// fold; after a failure the next one waits longer, so that an outage's end brings
-// no flood.
+// OnAppendDone ends the claim in flight. The log shows whether it took effect. After
+// a failure the next claim waits longer, so that instances don't all claim at once
+// when an outage ends.
 func (s *Service) OnAppendDone(d event.AppendDone) {
-	if d.ID != s.claim {
+	if d.ID != s.claimID {
 		return
 	}
-	s.claim = 0
+	s.claimID = 0
 	if d.Verdict == verdict.Done {
 		s.backoff = claimInterval
 	} else {
@@ -204,22 +209,24 @@
 	s.nextClaim = s.env.Now() + s.backoff/2 + jitter
 }
 
-// Owner returns a shard's owner and term; ok is false when it never had one.
-func (s *Service) Owner(shard model.Shard) (slot Slot, ok bool) {
-	slot = s.slots[shard]
-	return slot, slot.Term != 0
+// Owner returns a shard's owner and term. It returns false when the shard has never
+// had an owner.
+func (s *Service) Owner(shard model.Shard) (entry Slot, ok bool) {
+	entry = s.table[shard]
+	return entry, entry.Term != 0
 }
 
-// Mine returns the shard's term when this instance owns it.
+// Mine returns the shard's term. It returns false when this instance does not own
+// the shard.
 func (s *Service) Mine(shard model.Shard) (term uint64, ok bool) {
-	slot := s.slots[shard]
-	return slot.Term, slot.Term != 0 && slot.Owner == s.env.Owner()
+	entry := s.table[shard]
+	return entry.Term, entry.Term != 0 && entry.Owner == s.env.Owner()
 }
 
 // Owned returns the shards that this instance owns.
 func (s *Service) Owned() []wire.ShardTerm {
 	var owned []wire.ShardTerm
-	for i := range s.slots {
+	for i := range s.table {
 		if term, ok := s.Mine(model.Shard(i)); ok {
 			owned = append(owned, wire.ShardTerm{Shard: model.Shard(i), Term: term})
 		}
@@ -227,11 +234,11 @@
 	return owned
 }
 
-// Reachable returns how many shards have an owner that counts as alive.
+// Reachable returns the number of shards whose owner is live.
 func (s *Service) Reachable() int {
 	n := 0
-	for _, slot := range s.slots {
-		if slot.Term != 0 && s.members.IsLive(slot.Owner) {
+	for _, entry := range s.table {
+		if entry.Term != 0 && s.members.IsLive(entry.Owner) {
 			n++
 		}
 	}
@@ -241,10 +248,10 @@
 // Applied returns the offset of the last log entry applied.
 func (s *Service) Applied() uint64 { return s.applied }
 
-// Slots returns a copy of the table.
-func (s *Service) Slots() [model.Shards]Slot { return s.slots }
+// Slots returns a copy of the table, indexed by shard.
+func (s *Service) Slots() [model.Shards]Slot { return s.table }
 
-// FillBeat tells peers how far this instance has read the log.
+// FillBeat adds to a heartbeat how far this instance has applied the log.
 func (s *Service) FillBeat(b *wire.Heartbeat) {
 	b.Applied = s.applied
 	b.LogAge = s.env.Now() - s.logAt
--- a/internal/service/ownership/snapshot.go
+++ b/internal/service/ownership/snapshot.go
@@ -9,12 +9,12 @@
 	"pollenbend/internal/wire"
 )
 
-// tableSnapshot is the encoded table, one line for each shard.
+// tableSnapshot is the encoded table, with one entry for each shard.
 type tableSnapshot struct {
-	Slots []slotSnapshot `cbor:"1,keyasint"`
+	Shards []shardSnapshot `cbor:"1,keyasint"`
 }
 
-type slotSnapshot struct {
+type shardSnapshot struct {
 	_     struct{} `cbor:",toarray"`
 	Owner wire.Owner
 	Term  uint64
@@ -26,30 +26,31 @@
 // Snapshot implements service.Snapshotter.
 func (s *Service) Snapshot() []byte {
 	var t tableSnapshot
-	for _, slot := range s.slots {
-		t.Slots = append(t.Slots, slotSnapshot{Owner: slot.Owner, Term: slot.Term})
+	for _, entry := range s.table {
+		t.Shards = append(t.Shards, shardSnapshot{Owner: entry.Owner, Term: entry.Term})
 	}
 	data, err := cbor.Marshal(t)
 	if err != nil {
-		panic(err) // the table always has an encoding
+		panic(err) // the table can always be encoded
 	}
 	return data
 }
 
-// Restore implements service.Snapshotter. Shards whose term is higher in the
-// snapshot move; what happened to them in between is not known, so each counts
-// as one that had an owner before.
+// Restore implements service.Snapshotter. A shard moves when its term in the
+// snapshot is higher than in the table. The moves in between are not known, so each
+// such shard counts as one that had an owner before. It returns an error when data
+// is malformed or has the wrong number of shards.
 func (s *Service) Restore(data []byte) error {
 	var t tableSnapshot
 	if err := cbor.Unmarshal(data, &t); err != nil {
-		return errors.Wrap(err, "read the table of shards")
+		return errors.Wrap(err, "decode shard table")
 	}
-	if len(t.Slots) != model.Shards {
-		return errors.Newf("the table has %d shards, expected %d", len(t.Slots), model.Shards)
+	if len(t.Shards) != model.Shards {
+		return errors.Newf("shard table has %d shards, expected %d", len(t.Shards), model.Shards)
 	}
-	for i, slot := range t.Slots {
-		if before := s.slots[i]; slot.Term > before.Term {
-			s.moved(model.Shard(i), Slot{Owner: slot.Owner, Term: slot.Term},
+	for i, entry := range t.Shards {
+		if before := s.table[i]; entry.Term > before.Term {
+			s.setOwner(model.Shard(i), Slot{Owner: entry.Owner, Term: entry.Term},
 				service.ShardMove{OldTerm: max(before.Term, 1), Gap: true})
 		}
 	}
