--- a/internal/service/membership/membership.go
+++ b/internal/service/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership decides which instances are alive, from the platform's
-// lagging instance list and from heartbeats between the instances.
+// Package membership decides which instances are live, based on the platform's
+// instance list, which lags behind, and on heartbeats between the instances.
 package membership
 
 import (
@@ -16,18 +16,19 @@
 	"pollenbend/internal/wire"
 )
 
-// Member is what this instance knows of another.
+// Member is what this instance knows of another one.
 type Member struct {
-	Owner    wire.Owner
-	Beat     wire.Heartbeat
-	HeardAt  time.Duration
-	Coverage wire.Coverage
-	dead     bool
+	Owner           wire.Owner
+	Beat            wire.Heartbeat
+	LastHeartbeatAt time.Duration
+	Coverage        wire.Coverage
+	dead            bool
 }
 
-// Service tracks the members of the cell. A member counts as dead when it was
-// silent for Timing.DeadAfter here and for most of the members heard here, so
-// that one broken link moves no shard.
+// Service tracks the members of the cell. A member counts as dead when it has sent
+// no heartbeat to this instance for Timing.DeadAfter and a majority of the members
+// reachable from here cannot reach it either, so that a single broken link moves no
+// shard.
 type Service struct {
 	env          *event.Env
 	contributors []service.BeatContributor
@@ -52,14 +53,15 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return service.Membership }
 
-// Bind finds the services that this one works with.
+// Bind looks up the services that contribute to heartbeats and those that handle
+// dead members.
 func (s *Service) Bind(k *kernel.Kernel) error {
 	s.contributors = kernel.All[service.BeatContributor](k)
 	s.listeners = kernel.All[service.MemberHandler](k)
 	return nil
 }
 
-// OnListing takes over a view of the instance list.
+// OnListing replaces the instance list.
 func (s *Service) OnListing(l platform.Listing) {
 	clear(s.listed)
 	for _, i := range l.Instances {
@@ -67,7 +69,7 @@
 	}
 }
 
-// OnMessage takes heartbeats and coverage.
+// OnMessage handles heartbeats and coverage.
 func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
 	switch m := m.(type) {
 	case wire.Heartbeat:
@@ -91,7 +93,7 @@
 		s.members[from.Instance] = known
 		s.env.Note(event.Note{Kind: "member-up", Subject: string(from.Instance)})
 	}
-	known.HeardAt = s.env.Now()
+	known.LastHeartbeatAt = s.env.Now()
 	known.dead = false
 	if beat.Seq > known.Beat.Seq {
 		known.Beat = beat
@@ -108,7 +110,7 @@
 	}
 }
 
-// OnTick sends heartbeats and looks for dead members.
+// OnTick sends heartbeats and declares members dead.
 func (s *Service) OnTick() {
 	if s.lastBeat == 0 || s.env.Now()-s.lastBeat >= s.env.Timing.Heartbeat {
 		s.lastBeat = s.env.Now()
@@ -116,7 +118,7 @@
 	}
 	for _, id := range s.sortedMembers() {
 		m := s.members[id]
-		if !m.dead && s.silent(m) && s.mostMiss(m.Owner) {
+		if !m.dead && s.unreachable(m) && s.unreachableForMajority(m.Owner) {
 			s.declareDead(m)
 		}
 	}
@@ -124,7 +126,7 @@
 
 func (s *Service) sendHeartbeats() {
 	s.beatSeq++
-	beat := wire.Heartbeat{Seq: s.beatSeq, Leaving: s.leaving, Hears: s.heard()}
+	beat := wire.Heartbeat{Seq: s.beatSeq, Leaving: s.leaving, Hears: s.reachable()}
 	for _, c := range s.contributors {
 		c.FillBeat(&beat)
 	}
@@ -133,7 +135,7 @@
 	}
 }
 
-// Peers returns the listed or heard instances other than this one, sorted.
+// Peers returns the other instances that are listed or live, sorted.
 func (s *Service) Peers() []model.InstanceID {
 	var ids []model.InstanceID
 	for id := range s.listed {
@@ -150,24 +152,25 @@
 	return ids
 }
 
-func (s *Service) silent(m *Member) bool {
-	return s.env.Now()-m.HeardAt >= s.env.Timing.DeadAfter
+// unreachable reports whether a member has sent no heartbeat for Timing.DeadAfter.
+func (s *Service) unreachable(m *Member) bool {
+	return s.env.Now()-m.LastHeartbeatAt >= s.env.Timing.DeadAfter
 }
 
-// mostMiss reports whether most of the members heard here, this one included, no
-// longer hear o.
-func (s *Service) mostMiss(o wire.Owner) bool {
-	voters, missing := 1, 1
+// unreachableForMajority reports whether more than half of the members reachable
+// from here, this instance included, cannot reach o.
+func (s *Service) unreachableForMajority(o wire.Owner) bool {
+	voters, unreachable := 1, 1
 	for _, m := range s.members {
-		if m.dead || s.silent(m) {
+		if m.dead || s.unreachable(m) {
 			continue
 		}
 		voters++
 		if !slices.Contains(m.Beat.Hears, o) {
-			missing++
+			unreachable++
 		}
 	}
-	return 2*missing > voters
+	return 2*unreachable > voters
 }
 
 func (s *Service) declareDead(m *Member) {
@@ -178,10 +181,11 @@
 	}
 }
 
-func (s *Service) heard() []wire.Owner {
+// reachable returns the members that this instance can reach, sorted.
+func (s *Service) reachable() []wire.Owner {
 	var owners []wire.Owner
 	for _, m := range s.members {
-		if !m.dead && !s.silent(m) {
+		if !m.dead && !s.unreachable(m) {
 			owners = append(owners, m.Owner)
 		}
 	}
@@ -209,15 +213,15 @@
 }
 
 // Eligible returns the live members that may be given shards: those that are not
-// leaving, by the list or by their own word.
+// leaving according to the instance list or their heartbeats.
 func (s *Service) Eligible() []wire.Owner {
-	var fit []wire.Owner
+	var eligible []wire.Owner
 	for _, o := range s.Live() {
 		if !s.isLeaving(o.Instance) {
-			fit = append(fit, o)
+			eligible = append(eligible, o)
 		}
 	}
-	return fit
+	return eligible
 }
 
 func (s *Service) isLeaving(id model.InstanceID) bool {
@@ -231,7 +235,8 @@
 	return ok && m.Beat.Leaving
 }
 
-// IsLive reports whether o counts as alive. An instance never heard of does not.
+// IsLive reports whether o counts as live. An instance from which no heartbeat was
+// ever received does not.
 func (s *Service) IsLive(o wire.Owner) bool {
 	if o == s.env.Owner() {
 		return true
@@ -240,23 +245,25 @@
 	return ok && m.Owner == o && !m.dead
 }
 
-// Majority reports whether this instance hears more than half of the listed
-// instances, itself included. Without it, it may be the one that is cut off.
+// Majority reports whether this instance can reach more than half of the listed
+// instances, itself included. Without a majority it may be the one that is
+// partitioned from the others.
 func (s *Service) Majority() bool {
-	voters, heard := 1, 1
+	voters, reachable := 1, 1
 	for id := range s.listed {
 		if id == s.env.Self.ID {
 			continue
 		}
 		voters++
-		if m, ok := s.members[id]; ok && !m.dead && !s.silent(m) {
-			heard++
+		if m, ok := s.members[id]; ok && !m.dead && !s.unreachable(m) {
+			reachable++
 		}
 	}
-	return 2*heard > voters
+	return 2*reachable > voters
 }
 
-// Member returns what is known of a live member other than this instance.
+// Member returns what is known of a live member other than this instance. It returns
+// false for any other instance.
 func (s *Service) Member(id model.InstanceID) (*Member, bool) {
 	m, ok := s.members[id]
 	if !ok || m.dead {
@@ -265,10 +272,10 @@
 	return m, true
 }
 
-// HeardWithin reports whether any peer was heard within d.
-func (s *Service) HeardWithin(d time.Duration) bool {
+// HeartbeatWithin reports whether a heartbeat of any peer was received within d.
+func (s *Service) HeartbeatWithin(d time.Duration) bool {
 	for _, m := range s.members {
-		if m.HeardAt > 0 && s.env.Now()-m.HeardAt <= d {
+		if m.LastHeartbeatAt > 0 && s.env.Now()-m.LastHeartbeatAt <= d {
 			return true
 		}
 	}
