--- a/internal/service/handover/handover.go
+++ b/internal/service/handover/handover.go
@@ -1,9 +1,10 @@
-// Package handover passes shards on without losing what their owner remembers:
-// when this instance is leaving, and when another is the better owner.
+// Package handover transfers shards to another owner without losing what their owner
+// remembers of requests: when this instance is leaving, and when another one is the
+// target of a shard.
 //
-// The owner freezes the shards, sends its memory of their requests to the next
-// owner, and once that is confirmed appends a Handover. The memory counts only
-// with that record, so a handover that fails leaves everything as it was.
+// The owner freezes the shards, sends their request memory to the next owner and,
+// once that one has confirmed it, appends a Handover. The memory takes effect only
+// with that record, so a failed handover changes nothing.
 package handover
 
 import (
@@ -20,21 +21,21 @@
 	"pollenbend/internal/wire"
 )
 
-// Ownership tells which shards are owned here.
+// Ownership provides the shards that this instance owns.
 type Ownership interface {
 	Owned() []wire.ShardTerm
 	Mine(model.Shard) (term uint64, ok bool)
 	CaughtUp() bool
 }
 
-// Members tells who may take shards.
+// Members provides the members that may own shards.
 type Members interface {
 	Eligible() []wire.Owner
 	Leaving() bool
 	IsLive(wire.Owner) bool
 }
 
-// Memory exports and imports what is remembered of requests.
+// Memory exports and imports what an owner remembers of requests.
 type Memory interface {
 	Remembered(model.Shard) int
 	Export(shards []wire.ShardTerm) ([]wire.ShardMemory, []wire.RequestMemory)
@@ -48,21 +49,21 @@
 	members   Members
 	memory    Memory
 
-	current  *transfer
-	serial   uint64
-	nextAt   time.Duration
-	eligible []wire.Owner
-	since    time.Duration // when the eligible members last changed
-	drainAt  time.Duration // when this instance began to leave, 0 before
+	current        *transfer
+	serial         uint64
+	nextAt         time.Duration
+	eligible       []wire.Owner
+	eligibleSince  time.Duration // when the eligible members last changed
+	drainStartedAt time.Duration // when this instance started to leave, 0 before
 }
 
-// stage is how far a transfer has come.
+// stage is the progress of a transfer.
 type stage uint8
 
 const (
-	stageSending   stage = iota // memory sent, not confirmed
-	stageAppending              // the handover may be in the log
-	stageReclaim                // in doubt: a claim to this instance decides
+	stageSending    stage = iota // memory sent, not yet confirmed
+	stageAppending               // the handover may be in the log
+	stageReclaiming              // in doubt; a claim by this instance decides
 )
 
 type transfer struct {
@@ -75,15 +76,15 @@
 }
 
 const (
-	maxShards       = 4    // in one transfer
-	maxRequests     = 4000 // in one transfer beyond its first shard, so that they fit one message
-	sendTimeout     = time.Second
-	appendTimeout   = 4 * time.Second
-	pause           = 50 * time.Millisecond
-	idlePause       = 250 * time.Millisecond // between looks when there is nothing to hand over
-	settle          = 5 * time.Second        // members must be stable this long before shards are balanced
-	firstSettle     = 10 * time.Second
-	stuckDrainAfter = 10 * time.Second
+	maxShards        = 4    // in one transfer
+	maxRequests      = 4000 // in one transfer with more than one shard, so that they fit into one message
+	sendTimeout      = time.Second
+	appendTimeout    = 4 * time.Second
+	transferInterval = 50 * time.Millisecond
+	idleInterval     = 250 * time.Millisecond // between checks when there is nothing to hand over
+	stableWindow     = 5 * time.Second        // time without a change of members before shards are balanced
+	startupDelay     = 10 * time.Second
+	drainTimeout     = 10 * time.Second
 )
 
 // New returns the handover service.
@@ -92,7 +93,7 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return service.Handover }
 
-// Bind finds the services that this one works with.
+// Bind looks up the services that this one uses. It returns an error when one is missing.
 func (s *Service) Bind(k *kernel.Kernel) (err error) {
 	if s.ownership, err = kernel.Find[Ownership](k, service.Ownership); err != nil {
 		return err
@@ -104,7 +105,7 @@
 	return err
 }
 
-// Frozen reports whether a shard is being handed over, so that its owner takes
+// Frozen reports whether a shard is being handed over. Its owner then accepts
 // nothing new for it.
 func (s *Service) Frozen(shard model.Shard) bool {
 	return s.current != nil && slices.ContainsFunc(s.current.shards, func(st wire.ShardTerm) bool {
@@ -112,7 +113,7 @@
 	})
 }
 
-// OnTick starts transfers and ends those that take too long.
+// OnTick starts transfers and ends those that exceed their deadline.
 func (s *Service) OnTick() {
 	now := s.env.Now()
 	s.watchMembers(now)
@@ -125,7 +126,7 @@
 	}
 	to, shards := s.pick(now)
 	if len(shards) == 0 {
-		s.nextAt = now + idlePause
+		s.nextAt = now + idleInterval
 		return
 	}
 	s.send(to, shards)
@@ -134,17 +135,17 @@
 func (s *Service) watchMembers(now time.Duration) {
 	if eligible := s.members.Eligible(); !slices.Equal(eligible, s.eligible) {
 		s.eligible = eligible
-		s.since = now
+		s.eligibleSince = now
 	}
-	if s.members.Leaving() && s.drainAt == 0 {
-		s.drainAt = max(now, 1)
+	if s.members.Leaving() && s.drainStartedAt == 0 {
+		s.drainStartedAt = max(now, 1)
 	}
 }
 
-// pick returns the shards to pass on next and to whom: all when this instance is
-// leaving, otherwise those that fall to another member since it joined.
+// pick returns the shards to hand over next and their new owner: all shards when
+// this instance is leaving, otherwise those whose target has become another member.
 func (s *Service) pick(now time.Duration) (to wire.Owner, shards []wire.ShardTerm) {
-	stable := now-s.since >= settle && now >= firstSettle
+	stable := now-s.eligibleSince >= stableWindow && now >= startupDelay
 	if !s.members.Leaving() && !stable {
 		return to, nil
 	}
@@ -175,18 +176,18 @@
 	s.env.Send(to.Instance, wire.Memory{ID: s.serial, Shards: memory, Entries: entries})
 }
 
-// OnMessage takes memories from owners and confirmations from next owners.
+// OnMessage handles memory sent by owners and confirmations from next owners.
 func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
 	switch m := m.(type) {
 	case wire.Memory:
 		s.memory.Import(m)
 		s.env.Send(from.Instance, wire.MemoryKept{ID: m.ID})
 	case wire.MemoryKept:
-		s.onKept(from, m)
+		s.onMemoryKept(from, m)
 	}
 }
 
-func (s *Service) onKept(from wire.Owner, m wire.MemoryKept) {
+func (s *Service) onMemoryKept(from wire.Owner, m wire.MemoryKept) {
 	t := s.current
 	if t == nil || t.stage != stageSending || t.id != m.ID || t.to != from {
 		return
@@ -197,7 +198,8 @@
 	t.appendID = s.env.Append(wire.Handover{From: s.env.Owner(), To: t.to, Shards: t.shards})
 }
 
-// OnAppendDone unfreezes shards whose handover certainly is not in the log.
+// OnAppendDone ends a transfer whose handover is certainly not in the log, and
+// reclaims its shards when that is in doubt.
 func (s *Service) OnAppendDone(d event.AppendDone) {
 	t := s.current
 	if t == nil || t.appendID != d.ID {
@@ -206,18 +208,18 @@
 	switch {
 	case d.Verdict == verdict.Done:
 	case t.stage == stageAppending && d.Verdict == verdict.NotRun:
-		s.end()
+		s.endTransfer()
 	default:
 		s.reclaim(t)
 	}
 }
 
-// reclaim settles a handover that may or may not be in the log. A claim of the
-// same shards at the same terms is appended behind it: whichever comes first in
-// the log voids the other, and until one is read nothing is taken.
+// reclaim resolves a handover that may or may not be in the log. It appends a claim
+// of the same shards at the same terms: whichever of the two comes first in the log
+// invalidates the other. Until one of them is read, the shards accept nothing new.
 func (s *Service) reclaim(t *transfer) {
 	s.note("handover-reclaim", "the handover may or may not be in the log")
-	t.stage = stageReclaim
+	t.stage = stageReclaiming
 	t.deadline = s.env.Now() + appendTimeout
 	t.appendID = s.env.Append(wire.Claim{Owner: s.env.Owner(), Shards: t.shards})
 }
@@ -232,13 +234,13 @@
 	case now < t.deadline && s.members.IsLive(t.to):
 	case t.stage == stageSending:
 		s.note("handover-drop", "no confirmation from "+string(t.to.Instance))
-		s.end()
+		s.endTransfer()
 	case now >= t.deadline:
 		s.reclaim(t)
 	}
 }
 
-// OnShardMoved ends a transfer once the log has decided it.
+// OnShardMoved ends a transfer once the log has decided the owner of all its shards.
 func (s *Service) OnShardMoved(m service.ShardMove) {
 	t := s.current
 	if t == nil {
@@ -248,21 +250,22 @@
 		return st.Shard == m.Shard && m.OldTerm == st.Term
 	})
 	if len(t.shards) == 0 {
-		s.end()
+		s.endTransfer()
 	}
 }
 
-func (s *Service) end() {
+// endTransfer unfreezes the shards and schedules the next transfer.
+func (s *Service) endTransfer() {
 	s.current = nil
-	s.nextAt = s.env.Now() + pause
+	s.nextAt = s.env.Now() + transferInterval
 }
 
-// Settled reports whether nothing is left to hand over: no shard is owned, nobody
-// could take one, or the log has not let any go for a while.
+// Settled reports whether nothing remains to be handed over: no shard is owned, no
+// other member is eligible, or the drain has taken longer than drainTimeout.
 func (s *Service) Settled() bool {
 	if len(s.ownership.Owned()) == 0 {
 		return true
 	}
 	alone := len(s.eligible) == 0 || len(s.eligible) == 1 && s.eligible[0] == s.env.Owner()
-	return alone || s.drainAt > 0 && s.env.Now()-s.drainAt > stuckDrainAfter
+	return alone || s.drainStartedAt > 0 && s.env.Now()-s.drainStartedAt > drainTimeout
 }
