--- a/internal/core/catchup.go
+++ b/internal/core/catchup.go
@@ -7,44 +7,44 @@
 )
 
 const (
-	// fetchInterval is the shortest time between two questions to peers.
+	// fetchInterval is the minimum time between two requests to peers.
 	fetchInterval = 200 * time.Millisecond
-	// logSilence is the time without an answer of the log after which peers
-	// are asked in its place.
-	logSilence = 200 * time.Millisecond
-	// snapshotInterval is the shortest time between two questions for a
-	// snapshot.
+	// logTimeout is the time without an answer from the log after which peers are asked
+	// instead.
+	logTimeout = 200 * time.Millisecond
+	// snapshotInterval is the minimum time between two requests for a snapshot.
 	snapshotInterval = 2 * time.Second
-	// maxFollowed is the number of missing entries from which on a snapshot is
-	// asked for in their place.
-	maxFollowed = 4 * maxServed
+	// maxMissingEntries is the number of missing entries from which a snapshot is
+	// requested instead of the entries.
+	maxMissingEntries = 4 * maxServedEntries
 )
 
-// ahead is the peer heard last that had applied the log further than this core.
-type ahead struct {
+// aheadPeer is the peer with the latest heartbeat that showed a higher applied
+// offset than that of this core.
+type aheadPeer struct {
 	peer    wire.Owner
 	applied uint64
 }
 
-// notice notes that a peer is ahead, and asks it.
-func (r *logReader) notice(from wire.Owner, beat wire.Heartbeat) {
+// onHeartbeat stores that a peer is ahead and requests entries from it.
+func (r *logReader) onHeartbeat(from wire.Owner, beat wire.Heartbeat) {
 	if beat.Applied >= r.next {
-		r.ahead = ahead{peer: from, applied: beat.Applied}
+		r.ahead = aheadPeer{peer: from, applied: beat.Applied}
 	}
 	r.catchUp()
 }
 
-// catchUp asks the peer that is ahead for the entries that follow, while the log
-// itself is silent.
+// catchUp requests the next entries from the peer that is ahead while the log does
+// not answer or has dropped them.
 func (r *logReader) catchUp() {
 	now := r.env.Now()
 	if r.ahead.applied < r.next || now < r.nextFetch {
 		return
 	}
-	if r.logAt > 0 && now-r.logAt < logSilence && !r.lost {
+	if r.logAt > 0 && now-r.logAt < logTimeout && !r.trimmed {
 		return
 	}
-	if r.ahead.applied-r.next >= maxFollowed {
+	if r.ahead.applied-r.next >= maxMissingEntries {
 		r.nextFetch = now + snapshotInterval
 		r.env.Send(r.ahead.peer.Instance, wire.FetchSnapshot{})
 		return
--- a/internal/core/catchup_test.go
+++ b/internal/core/catchup_test.go
@@ -30,7 +30,7 @@
 
 var withdrawKey = model.ObjectRef{Kind: model.ObjectKey, Name: "k"}
 
-// authorized reports whether the team's key is taken at an instance.
+// authorized reports whether an instance accepts the team's key.
 func (c *cell) authorized(at model.InstanceID, secret string) bool {
 	_, _, refusal := c.config(at).Authorize(secret, "")
 	return refusal == nil
@@ -40,16 +40,16 @@
 	c := newCell(t, "a", "b", "c")
 	base := c.change("1", 0, teamAndKey("s"))
 	c.run(time.Second)
-	c.logCut["b"] = true
+	c.logUnreachable["b"] = true
 	require.True(t, c.authorized("b", "s"))
 
-	for range 3 * maxServed {
+	for range 3 * maxServedEntries {
 		c.append(wire.JobCanceled{})
 	}
 	last := c.change("2", base, model.Declarations{Queues: []model.Queue{{Name: "q", Team: "t"}}}, withdrawKey)
 	c.dropped = func(m wire.Message) bool {
-		_, told := m.(wire.KeysWithdrawn)
-		return told
+		_, withdrawal := m.(wire.KeysWithdrawn)
+		return withdrawal
 	}
 	c.run(2 * time.Second)
 	_, version := c.config("b").Document()
@@ -61,31 +61,31 @@
 func TestCatchUpIsRateLimited(t *testing.T) {
 	c := newCell(t, "a", "b")
 	c.run(time.Second)
-	c.logCut["b"] = true
-	asked := 0
+	c.logUnreachable["b"] = true
+	requests := 0
 	c.dropped = func(m wire.Message) bool {
 		if _, ok := m.(wire.FetchLog); ok {
-			asked++
+			requests++
 		}
 		_, entries := m.(wire.LogEntries)
 		return entries
 	}
 	c.append(wire.JobCanceled{})
 	c.run(2 * time.Second)
-	require.Positive(t, asked)
-	require.LessOrEqual(t, asked, int(2*time.Second/fetchInterval)+1)
+	require.Positive(t, requests)
+	require.LessOrEqual(t, requests, int(2*time.Second/fetchInterval)+1)
 }
 
-func TestWithdrawalIsToldBeforeTheLogIsRead(t *testing.T) {
+func TestWithdrawalIsSentBeforePeersReadTheLog(t *testing.T) {
 	c := newCell(t, "a", "b", "c")
 	base := c.change("1", 0, teamAndKey("s"))
 	c.run(time.Second)
-	c.logCut["b"], c.logCut["c"] = true, true
-	told := 0
+	c.logUnreachable["b"], c.logUnreachable["c"] = true, true
+	sent := 0
 	c.dropped = func(m wire.Message) bool {
 		switch m.(type) {
 		case wire.KeysWithdrawn:
-			told++
+			sent++
 		case wire.LogEntries:
 			return true
 		}
@@ -95,23 +95,23 @@
 	c.read("a")
 	require.False(t, c.authorized("b", "s"))
 	require.False(t, c.authorized("c", "s"))
-	require.LessOrEqual(t, told, 6, "each instance tells each other at most once")
+	require.LessOrEqual(t, sent, 6, "each instance sends the withdrawal to each other one at most once")
 
 	_, version := c.config("b").Document()
-	require.Equal(t, base, version, "a peer's word changes no declaration")
-	c.logCut["b"], c.dropped = false, nil
+	require.Equal(t, base, version, "a withdrawal sent by a peer changes no declaration")
+	c.logUnreachable["b"], c.dropped = false, nil
 	c.run(time.Second)
 	require.False(t, c.authorized("b", "s"))
 }
 
-func TestAncientWithdrawalsAreNotTold(t *testing.T) {
+func TestOldWithdrawalsAreNotSent(t *testing.T) {
 	c := newCell(t, "a", "b")
 	base := c.change("1", 0, teamAndKey("s"))
 	c.change("2", base, model.Declarations{}, withdrawKey)
 	c.run(time.Second)
 	c.dropped = func(m wire.Message) bool {
-		_, told := m.(wire.KeysWithdrawn)
-		require.False(t, told)
+		_, withdrawal := m.(wire.KeysWithdrawn)
+		require.False(t, withdrawal)
 		return false
 	}
 	c.start("late")
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core assembles the services into the decision core. It does no I/O and
+// Package core combines the services into the decision core. It does no I/O and
 // reads no clock: Step turns one event at a given time into actions, so a recorded
-// stream of events always gives the same actions.
+// stream of events always produces the same actions.
 package core
 
 import (
@@ -30,12 +30,12 @@
 	Self   platform.Instance
 	Timing event.Timing
 	Seed   uint64
-	// RecordedKeys makes callers' keys references, as a trace holds them, in
-	// place of secrets.
+	// RecordedKeys makes the core accept callers' keys as references, as a trace
+	// contains them, instead of secrets.
 	RecordedKeys bool
 }
 
-// Core is the decision core. It must be used from one goroutine.
+// Core is the decision core. It is not safe for concurrent use.
 type Core struct {
 	env    *event.Env
 	kernel *kernel.Kernel
@@ -52,18 +52,19 @@
 	stepEnds  []service.StepEndHandler
 }
 
-// bound is a service that finds others when all are registered.
-type bound interface {
+// binder is a service that looks up other services once all are registered.
+type binder interface {
 	Bind(k *kernel.Kernel) error
 }
 
-// New returns a core with all services registered and bound.
+// New returns a core with all services registered and bound. It returns an error
+// when a service is missing.
 func New(o Options) (*Core, error) {
 	env := event.NewEnv(o.Self, o.Timing, o.Seed)
 	k := kernel.New()
 	configuration := config.New(env)
 	if o.RecordedKeys {
-		configuration.TakeReferences()
+		configuration.AcceptKeyReferences()
 	}
 	for _, s := range []kernel.Service{
 		membership.New(env),
@@ -81,7 +82,7 @@
 			return nil, err
 		}
 	}
-	for _, b := range kernel.All[bound](k) {
+	for _, b := range kernel.All[binder](k) {
 		if err := b.Bind(k); err != nil {
 			return nil, errors.Wrap(err, "bind services")
 		}
@@ -111,10 +112,11 @@
 // Kernel returns the registry, for reading state in status pages and tests.
 func (c *Core) Kernel() *kernel.Kernel { return c.kernel }
 
-// NextOffset returns the offset from which the log is to be read.
+// NextOffset returns the offset of the next log entry to read.
 func (c *Core) NextOffset() uint64 { return c.reader.next }
 
-// Step handles one event at time now and returns the actions that follow.
+// Step handles one event at time now, on this instance's monotonic clock, and
+// returns the resulting actions.
 func (c *Core) Step(now time.Duration, e event.Event) []event.Action {
 	c.env.Begin(now)
 	c.handle(e)
@@ -174,19 +176,19 @@
 func (c *Core) message(e event.PeerMessage) {
 	switch m := e.Message.(type) {
 	case wire.FetchLog:
-		c.reader.serve(e.From, m)
+		c.reader.serveEntries(e.From, m)
 		return
 	case wire.LogEntries:
-		c.reader.take(m.Entries)
+		c.reader.applyEntries(m.Entries)
 		return
 	case wire.FetchSnapshot:
 		c.reader.sendSnapshot(e.From)
 		return
 	case wire.SnapshotState:
-		c.reader.adoptFrom(m)
+		c.reader.onSnapshotState(m)
 		return
 	case wire.Heartbeat:
-		c.reader.notice(e.From, m)
+		c.reader.onHeartbeat(e.From, m)
 	}
 	for _, h := range c.messages {
 		h.OnMessage(e.From, e.Message)
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -27,26 +27,27 @@
 	Retention: 10 * time.Minute, RequestTimeout: 30 * time.Second,
 }
 
-// cell wires cores to each other and to a log by hand, in virtual time.
+// cell connects cores to each other and to a log, in virtual time.
 type cell struct {
-	t       *testing.T
-	now     time.Duration
-	began   time.Time // time of day at now 0, or zero
-	skew    map[model.InstanceID]time.Duration
-	cores   map[model.InstanceID]*Core
-	order   []platform.Instance
-	logCut  map[model.InstanceID]bool
-	log     []platform.Entry
-	oldest  uint64
-	answers map[uint64]model.Answer
-	sent    map[string]int
-	dropped func(m wire.Message) bool
-	snaps   []uint64 // offsets of entries with a snapshot
-	workers []model.Worker
-	renewed map[model.InstanceID][]renewal
-}
-
-// renewal is a granted worker lease on its way to the instance that asked.
+	t               *testing.T
+	now             time.Duration
+	startTime       time.Time // time of day when now is 0, zero if unknown
+	skew            map[model.InstanceID]time.Duration
+	cores           map[model.InstanceID]*Core
+	order           []platform.Instance
+	logUnreachable  map[model.InstanceID]bool
+	log             []platform.Entry
+	oldest          uint64
+	answers         map[uint64]model.Answer
+	sent            map[string]int
+	dropped         func(m wire.Message) bool
+	snapshotOffsets []uint64 // offsets of the entries that contain a snapshot
+	workers         []model.Worker
+	renewed         map[model.InstanceID][]renewal
+}
+
+// renewal is a granted worker lease that is to be delivered to the instance that
+// requested it.
 type renewal struct {
 	due  time.Duration
 	done event.RenewDone
@@ -54,7 +55,7 @@
 
 func newCell(t *testing.T, names ...model.InstanceID) *cell {
 	c := &cell{
-		t: t, oldest: firstOffset, cores: map[model.InstanceID]*Core{}, logCut: map[model.InstanceID]bool{},
+		t: t, oldest: firstOffset, cores: map[model.InstanceID]*Core{}, logUnreachable: map[model.InstanceID]bool{},
 		answers: map[uint64]model.Answer{}, sent: map[string]int{},
 		renewed: map[model.InstanceID][]renewal{},
 	}
@@ -66,9 +67,9 @@
 
 func (c *cell) start(name model.InstanceID) {
 	self := platform.Instance{ID: name, Incarnation: 1}
-	made, err := New(Options{Self: self, Timing: testTiming, Seed: 1})
+	core, err := New(Options{Self: self, Timing: testTiming, Seed: 1})
 	require.NoError(c.t, err)
-	c.cores[name] = made
+	c.cores[name] = core
 	c.order = append(c.order, self)
 	for _, i := range c.order {
 		c.step(i.ID, event.Listed{Listing: platform.Listing{Instances: c.order}})
@@ -81,7 +82,7 @@
 		switch a := a.(type) {
 		case event.Append:
 			c.append(a.Records...)
-			c.step(at, event.AppendDone{ID: a.ID, Offset: c.next() - 1, Verdict: verdict.Done})
+			c.step(at, event.AppendDone{ID: a.ID, Offset: c.nextOffset() - 1, Verdict: verdict.Done})
 		case event.Send:
 			c.send(core.env.Owner(), a)
 		case event.Renew:
@@ -92,8 +93,8 @@
 	}
 }
 
-// list shows idle workers to every instance.
-func (c *cell) list(workers int) {
+// listWorkers adds idle workers to the listing of every instance.
+func (c *cell) listWorkers(workers int) {
 	for i := range workers {
 		c.workers = append(c.workers, model.Worker{
 			ID: model.WorkerID(fmt.Sprintf("w%d", i)), Capacity: model.Resources{Slots: 1},
@@ -104,7 +105,7 @@
 	}
 }
 
-// renew grants a lease on an idle worker once the asked wait is over.
+// renew grants a lease on an idle worker once the requested wait has passed.
 func (c *cell) renew(at model.InstanceID, a event.Renew) {
 	c.renewed[at] = append(c.renewed[at], renewal{due: c.now + a.Request.Wait, done: event.RenewDone{
 		Worker: a.Worker.ID, Lease: a.Request.Lease, Full: a.Request.Full, SentAt: c.now,
@@ -135,31 +136,33 @@
 	c.step(a.To, event.PeerMessage{From: from, Message: m})
 }
 
-func (c *cell) next() uint64 { return uint64(len(c.log)) + firstOffset }
+func (c *cell) nextOffset() uint64 { return uint64(len(c.log)) + firstOffset }
 
 func (c *cell) append(records ...wire.Record) uint64 {
 	data, err := wire.EncodeEntry(records)
 	require.NoError(c.t, err)
-	offset := c.next()
+	offset := c.nextOffset()
 	if _, ok := records[0].(wire.Snapshot); ok {
-		c.snaps = append(c.snaps, offset)
+		c.snapshotOffsets = append(c.snapshotOffsets, offset)
 	}
 	c.log = append(c.log, platform.Entry{Offset: offset, Data: data})
 	return offset
 }
 
-// read hands a core what the log keeps from its position on.
+// read delivers to a core the entries that the log keeps, starting at its next
+// offset.
 func (c *cell) read(at model.InstanceID) {
 	from := max(c.cores[at].NextOffset(), c.oldest)
-	c.step(at, event.LogRead{Entries: c.log[min(from, c.next())-firstOffset:], Oldest: c.oldest, Next: c.next(), AskedAt: c.now})
+	c.step(at, event.LogRead{Entries: c.log[min(from, c.nextOffset())-firstOffset:], Oldest: c.oldest, Next: c.nextOffset(), AskedAt: c.now})
 }
 
-// run lets virtual time pass; every step each core reads the log, unless it is cut.
+// run advances virtual time. In each step every core reads the log, unless it cannot
+// reach it.
 func (c *cell) run(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		c.now += stepTime
 		for _, i := range c.order {
-			if !c.logCut[i.ID] {
+			if !c.logUnreachable[i.ID] {
 				c.read(i.ID)
 			}
 			c.deliverRenewals(i.ID)
@@ -168,12 +171,12 @@
 	}
 }
 
-// wall returns the time of day by an instance's clock.
+// wall returns the time of day by an instance's clock, zero if unknown.
 func (c *cell) wall(at model.InstanceID) time.Time {
-	if c.began.IsZero() {
-		return c.began
+	if c.startTime.IsZero() {
+		return c.startTime
 	}
-	return c.began.Add(c.now + c.skew[at])
+	return c.startTime.Add(c.now + c.skew[at])
 }
 
 func (c *cell) change(id string, base uint64, put model.Declarations, del ...model.ObjectRef) uint64 {
--- a/internal/core/hours_test.go
+++ b/internal/core/hours_test.go
@@ -13,16 +13,16 @@
 	"pollenbend/internal/service/limits"
 )
 
-func evening(zone string, from, until time.Duration) model.Declarations {
+func eveningPolicy(zone string, from, until time.Duration) model.Declarations {
 	return model.Declarations{
 		Teams:    []model.Team{{Name: "t", Share: 3}},
 		Policies: []model.Policy{{Name: "p", Team: "t", TimeZone: zone, From: from, Until: until, Share: 9, Limit: 1}},
 	}
 }
 
-// TestClockChangesMoveThePolicyHours steps a core at the very minutes at which
-// hours begin and end around both clock changes of 2026.
-func TestClockChangesMoveThePolicyHours(t *testing.T) {
+// TestPolicyHoursFollowDaylightSavingTime steps a core at the minutes at which
+// policy hours begin and end, around both clock changes of 2026.
+func TestPolicyHoursFollowDaylightSavingTime(t *testing.T) {
 	const dublin, copenhagen = "Europe/Dublin", "Europe/Copenhagen"
 	hm := func(h, m int) time.Duration { return time.Duration(h)*time.Hour + time.Duration(m)*time.Minute }
 	for _, tt := range []struct {
@@ -45,9 +45,9 @@
 	} {
 		t.Run(tt.zone+" "+tt.first, func(t *testing.T) {
 			c := newCell(t, "a")
-			c.change("1", 0, evening(tt.zone, tt.from, tt.until))
+			c.change("1", 0, eveningPolicy(tt.zone, tt.from, tt.until))
 			c.run(stepTime)
-			require.EqualValues(t, 3, c.config("a").Teams()[0].Share, "without a time of day no policy is in force")
+			require.EqualValues(t, 3, c.config("a").Teams()[0].Share, "policies have no effect while the time of day is unknown")
 			require.Zero(t, c.config("a").Limit("t"))
 			first, err := time.Parse(time.RFC3339, tt.first)
 			require.NoError(t, err)
@@ -63,7 +63,7 @@
 	}
 }
 
-// mayStart counts the instances that may start a task of the team.
+// mayStart returns the number of instances that may start a task of the team.
 func (c *cell) mayStart(team model.TeamID) int {
 	n := 0
 	for _, i := range c.order {
@@ -76,25 +76,26 @@
 	return n
 }
 
-// TestLimitByTheHourFollowsOneClock lets the other clocks disagree with that of the
-// shard's owner by five minutes at the hour at which a limit of one task begins.
-func TestLimitByTheHourFollowsOneClock(t *testing.T) {
+// TestHourlyLimitFollowsClockOfShardOwner lets the clocks of the other instances
+// differ from that of the shard owner by five minutes at the hour at which a limit
+// of one task begins.
+func TestHourlyLimitFollowsClockOfShardOwner(t *testing.T) {
 	for _, skew := range []time.Duration{-5 * time.Minute, 0, 5 * time.Minute} {
 		t.Run(skew.String(), func(t *testing.T) {
 			c := newCell(t, "a", "b", "c")
-			c.list(24)
-			c.began = time.Date(2026, 3, 29, 16, 29, 0, 0, time.UTC)
-			c.change("1", 0, evening("Europe/Dublin", 17*time.Hour+30*time.Minute, 20*time.Hour))
+			c.listWorkers(24)
+			c.startTime = time.Date(2026, 3, 29, 16, 29, 0, 0, time.UTC)
+			c.change("1", 0, eveningPolicy("Europe/Dublin", 17*time.Hour+30*time.Minute, 20*time.Hour))
 			c.run(30 * time.Second)
-			require.Equal(t, 3, c.mayStart("t"), "before the hour there is no limit")
+			require.Equal(t, 3, c.mayStart("t"), "there is no limit before the hour")
 
 			owner := c.table("a")[model.ShardOfTeam("t")].Owner.Instance
 			c.skew = map[model.InstanceID]time.Duration{"a": skew, "b": skew, "c": skew}
 			c.skew[owner] = 0
 			c.run(28 * time.Second)
-			require.Equal(t, 3, c.mayStart("t"), "the clocks of others begin no limit")
+			require.Equal(t, 3, c.mayStart("t"), "the clocks of other instances do not start the limit")
 			c.run(5 * time.Second)
-			require.Equal(t, 1, c.mayStart("t"), "nor do they delay it")
+			require.Equal(t, 1, c.mayStart("t"), "the clocks of other instances do not delay the limit")
 		})
 	}
 }
--- a/internal/core/logreader.go
+++ b/internal/core/logreader.go
@@ -10,8 +10,8 @@
 	"pollenbend/internal/wire"
 )
 
-// logReader applies log entries in order, whether they come from the log or from
-// a peer, and keeps the latest ones for peers that cannot reach the log.
+// logReader applies log entries in order, whether they come from the log or from a
+// peer, and retains the latest ones for peers that cannot reach the log.
 type logReader struct {
 	env     *event.Env
 	entries []service.EntryHandler
@@ -20,20 +20,20 @@
 
 	snapshots snapshotter
 
-	next   uint64 // offset of the next entry to apply
-	recent []platform.Entry
-	unread []platform.Entry // kept while the log has dropped the next entry
-	lost   bool             // whether the log has dropped the next entry
+	next     uint64 // offset of the next entry to apply
+	recent   []platform.Entry
+	buffered []platform.Entry // entries read while the log has dropped the next one to apply
+	trimmed  bool             // whether the log has dropped the next entry to apply
 
-	ahead     ahead
+	ahead     aheadPeer
 	nextFetch time.Duration
-	logAt     time.Duration // when the log answered last
+	logAt     time.Duration // when the log last answered
 }
 
 const (
-	firstOffset = 1
-	maxRecent   = 4096
-	maxServed   = 256
+	firstOffset      = 1
+	maxRecentEntries = 4096
+	maxServedEntries = 256
 )
 
 func newLogReader(env *event.Env, k *kernel.Kernel) (*logReader, error) {
@@ -52,20 +52,20 @@
 func (r *logReader) read(e event.LogRead) {
 	r.logAt = r.env.Now()
 	if e.Oldest > r.next {
-		r.seek(e.Entries)
+		r.findSnapshot(e.Entries)
 	} else {
-		r.unread = nil
-		r.take(e.Entries)
+		r.buffered = nil
+		r.applyEntries(e.Entries)
 	}
-	r.lost = e.Oldest > r.next
+	r.trimmed = e.Oldest > r.next
 	for _, h := range r.logs {
 		h.OnLog(service.LogState{Oldest: e.Oldest, Next: e.Next, AskedAt: e.AskedAt})
 	}
 }
 
-// take applies entries that continue what is applied. It skips those that are
-// applied already and stops at a gap.
-func (r *logReader) take(entries []platform.Entry) {
+// applyEntries applies the entries that follow the last applied one. It skips those
+// that are already applied and stops at a gap.
+func (r *logReader) applyEntries(entries []platform.Entry) {
 	for _, e := range entries {
 		if e.Offset < r.next {
 			continue
@@ -79,7 +79,7 @@
 
 func (r *logReader) apply(e platform.Entry) {
 	r.next = e.Offset + 1
-	r.keep(e)
+	r.retain(e)
 	records, err := wire.DecodeEntry(e.Data)
 	if err == nil {
 		for _, rec := range records {
@@ -93,23 +93,23 @@
 	}
 }
 
-func (r *logReader) keep(e platform.Entry) {
+func (r *logReader) retain(e platform.Entry) {
 	r.recent = append(r.recent, e)
-	if len(r.recent) > 2*maxRecent {
-		r.recent = append([]platform.Entry(nil), r.recent[len(r.recent)-maxRecent:]...)
+	if len(r.recent) > 2*maxRecentEntries {
+		r.recent = append([]platform.Entry(nil), r.recent[len(r.recent)-maxRecentEntries:]...)
 	}
 }
 
-// serve sends entries to a peer that asks for them, or the state if they are no
-// longer at hand.
-func (r *logReader) serve(to wire.Owner, m wire.FetchLog) {
+// serveEntries sends entries to a peer that requests them, or the state if the first
+// one is no longer retained.
+func (r *logReader) serveEntries(to wire.Owner, m wire.FetchLog) {
 	if m.From < r.next && (len(r.recent) == 0 || m.From < r.recent[0].Offset) {
 		r.sendSnapshot(to)
 		return
 	}
 	var out []platform.Entry
 	for _, e := range r.recent {
-		if e.Offset >= m.From && len(out) < maxServed {
+		if e.Offset >= m.From && len(out) < maxServedEntries {
 			out = append(out, e)
 		}
 	}
--- a/internal/core/main_test.go
+++ b/internal/core/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// seed is the seed of the property tests unless -rapid.seed names another.
+// seed is the seed of the property tests unless -rapid.seed sets another one.
 const seed = "20261203"
 
 func TestMain(m *testing.M) {
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -5,32 +5,34 @@
 	"pollenbend/internal/wire"
 )
 
-// snapshotter takes and restores the state of all services.
+// snapshotter saves and restores the state of all services.
 type snapshotter interface {
 	Take() wire.Snapshot
 	Restore(wire.Snapshot) error
 }
 
-// seek looks for a snapshot among entries of a log that has dropped the next
-// entry to apply. A snapshot is usable if every entry after its state is at hand.
-// Until there is one nothing is applied, so this core does not count as caught up.
-func (r *logReader) seek(entries []platform.Entry) {
+// findSnapshot looks for a usable snapshot among entries of a log that has dropped
+// the next entry to apply. A snapshot is usable if every entry after its state has
+// been read. Until one is found nothing is applied, so this core does not count as
+// caught up.
+func (r *logReader) findSnapshot(entries []platform.Entry) {
 	for _, e := range entries {
-		if n := len(r.unread); n > 0 && e.Offset != r.unread[n-1].Offset+1 {
-			r.unread = nil
+		if n := len(r.buffered); n > 0 && e.Offset != r.buffered[n-1].Offset+1 {
+			r.buffered = nil
 		}
-		r.unread = append(r.unread, e)
+		r.buffered = append(r.buffered, e)
 		if r.restoreFrom(e) {
 			break
 		}
 	}
-	r.take(entries)
-	if len(r.unread) > 2*maxRecent {
-		r.unread = append([]platform.Entry(nil), r.unread[len(r.unread)-maxRecent:]...)
+	r.applyEntries(entries)
+	if len(r.buffered) > 2*maxRecentEntries {
+		r.buffered = append([]platform.Entry(nil), r.buffered[len(r.buffered)-maxRecentEntries:]...)
 	}
 }
 
-// restoreFrom restores a usable snapshot in e and applies the entries after it.
+// restoreFrom restores a usable snapshot in e and applies the entries after it. It
+// reports whether e contains one.
 func (r *logReader) restoreFrom(e platform.Entry) bool {
 	records, err := wire.DecodeEntry(e.Data)
 	if err != nil {
@@ -38,15 +40,15 @@
 	}
 	for _, rec := range records {
 		snap, ok := rec.(wire.Snapshot)
-		if ok && snap.Applied+1 >= r.unread[0].Offset && r.adopt(snap) {
+		if ok && snap.Applied+1 >= r.buffered[0].Offset && r.adopt(snap) {
 			return true
 		}
 	}
 	return false
 }
 
-// adopt replaces the state by a snapshot of a later one and applies the entries
-// at hand that follow it. It reports whether it did.
+// adopt replaces the state by a snapshot of a later one and applies the buffered
+// entries after it. It reports whether it did.
 func (r *logReader) adopt(s wire.Snapshot) bool {
 	if s.Applied < r.next {
 		return false
@@ -59,14 +61,15 @@
 	for _, h := range r.entries {
 		h.OnEntry(s.Applied)
 	}
-	unread := r.unread
-	r.unread = nil
-	r.take(unread)
+	buffered := r.buffered
+	r.buffered = nil
+	r.applyEntries(buffered)
 	return true
 }
 
-// adoptFrom takes a peer's state. When it is of no use, the next question waits.
-func (r *logReader) adoptFrom(m wire.SnapshotState) {
+// onSnapshotState adopts a peer's state. When that fails, the next request is
+// delayed.
+func (r *logReader) onSnapshotState(m wire.SnapshotState) {
 	if !r.adopt(m.Snapshot) {
 		r.nextFetch = r.env.Now() + snapshotInterval
 	}
--- a/internal/core/restore_test.go
+++ b/internal/core/restore_test.go
@@ -13,17 +13,17 @@
 	"pollenbend/internal/wire"
 )
 
-// drawRecord draws a change, a claim or a handover, most of them with effect.
+// drawRecord draws a change, a claim or a handover. Most of them take effect.
 func drawRecord(t *rapid.T, c *cell, i int) wire.Record {
 	owner := wire.Owner{Instance: model.InstanceID(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "owner")), Incarnation: 1}
 	shard := model.Shard(rapid.IntRange(0, 3).Draw(t, "shard"))
-	slot := c.table("full")[shard]
-	moved := []wire.ShardTerm{{Shard: shard, Term: slot.Term * uint64(rapid.IntRange(0, 1).Draw(t, "current"))}}
+	entry := c.table("full")[shard]
+	moved := []wire.ShardTerm{{Shard: shard, Term: entry.Term * uint64(rapid.IntRange(0, 1).Draw(t, "current"))}}
 	switch rapid.IntRange(0, 4).Draw(t, "kind") {
 	case 0:
 		return wire.Claim{Owner: owner, Shards: moved}
 	case 1:
-		return wire.Handover{From: slot.Owner, To: owner, Shards: moved}
+		return wire.Handover{From: entry.Owner, To: owner, Shards: moved}
 	}
 	name := rapid.SampledFrom([]string{"k1", "k2", "k3"}).Draw(t, "key")
 	_, version := c.config("full").Document()
@@ -36,8 +36,9 @@
 	return wire.ConfigChange{Change: change}
 }
 
-// fill appends drawn records and snapshots; a snapshot lags behind its place.
-func fill(t *rapid.T, c *cell) {
+// appendRandomRecords appends drawn records and snapshots. A snapshot may be older
+// than its position in the log.
+func appendRandomRecords(t *rapid.T, c *cell) {
 	var taken []wire.Snapshot
 	for i := range rapid.IntRange(1, 40).Draw(t, "entries") {
 		c.append(drawRecord(t, c, i))
@@ -53,30 +54,30 @@
 	}
 }
 
-func TestRestoredCoreEqualsOneThatFollows(t *testing.T) {
+func TestRestoreMatchesReplay(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newCell(t, "full", "late")
-		fill(rt, c)
+		appendRandomRecords(rt, c)
 		c.log = append(c.log[:0:0], c.log...)
 		full := c.cores["full"]
-		stop := rapid.Uint64Range(0, c.next()-1).Draw(rt, "followed until")
-		c.cores["late"].reader.take(c.log[:stop])
+		stop := rapid.Uint64Range(0, c.nextOffset()-1).Draw(rt, "followed until")
+		c.cores["late"].reader.applyEntries(c.log[:stop])
 		_, before := c.config("late").Document()
 		tableBefore := c.table("late")
 
-		c.oldest = rapid.Uint64Range(firstOffset, c.next()-1).Draw(rt, "oldest")
+		c.oldest = rapid.Uint64Range(firstOffset, c.nextOffset()-1).Draw(rt, "oldest")
 		usable := c.oldest <= stop+1
-		for _, at := range c.snaps {
-			usable = usable || at >= c.oldest && c.appliedOf(at)+1 >= c.oldest
+		for _, at := range c.snapshotOffsets {
+			usable = usable || at >= c.oldest && c.snapshotApplied(at)+1 >= c.oldest
 		}
 		c.read("late")
 		_, after := c.config("late").Document()
 		require.GreaterOrEqual(rt, after, before)
-		for i, slot := range c.table("late") {
-			require.GreaterOrEqual(rt, slot.Term, tableBefore[i].Term)
+		for i, entry := range c.table("late") {
+			require.GreaterOrEqual(rt, entry.Term, tableBefore[i].Term)
 		}
 		if !usable {
-			require.Equal(rt, stop+firstOffset, c.cores["late"].NextOffset(), "nothing is applied without a snapshot")
+			require.Equal(rt, stop+firstOffset, c.cores["late"].NextOffset(), "no entry is applied without a usable snapshot")
 			require.False(rt, c.config("late").Fresh())
 			c.cores["late"].reader.adopt(full.reader.snapshots.Take())
 		}
@@ -86,14 +87,14 @@
 	})
 }
 
-func (c *cell) appliedOf(offset uint64) uint64 {
+func (c *cell) snapshotApplied(offset uint64) uint64 {
 	records, err := wire.DecodeEntry(c.log[offset-firstOffset].Data)
 	require.NoError(c.t, err)
 	return records[0].(wire.Snapshot).Applied
 }
 
 func TestSnapshotsPrecedeRetention(t *testing.T) {
-	const kept = 600 // entries; at one each second the log keeps 10 minutes
+	const kept = 600 // entries; at one entry per second the log keeps 10 minutes
 	c := newCell(t, "a", "b", "c")
 	c.change("1", 0, teamAndKey("s"))
 	start := c.now
@@ -101,11 +102,11 @@
 		c.run(stepTime)
 		c.now += time.Second - stepTime
 		c.append(wire.JobCanceled{})
-		c.oldest = max(c.oldest, c.next()-min(c.next(), kept))
+		c.oldest = max(c.oldest, c.nextOffset()-min(c.nextOffset(), kept))
 	}
-	require.NotEmpty(t, c.snaps)
-	require.Less(t, len(c.snaps), int((c.now-start)/time.Minute))
-	require.GreaterOrEqual(t, c.appliedOf(c.snaps[len(c.snaps)-1]), c.oldest)
+	require.NotEmpty(t, c.snapshotOffsets)
+	require.Less(t, len(c.snapshotOffsets), int((c.now-start)/time.Minute))
+	require.GreaterOrEqual(t, c.snapshotApplied(c.snapshotOffsets[len(c.snapshotOffsets)-1]), c.oldest)
 
 	c.start("late")
 	c.run(2 * stepTime)
@@ -113,24 +114,24 @@
 	require.Equal(t, c.table("a"), c.table("late"))
 }
 
-func TestFreshInstanceStartsFromAPeer(t *testing.T) {
+func TestNewInstanceStartsFromPeerSnapshot(t *testing.T) {
 	c := newCell(t, "a", "b")
 	c.change("1", 0, teamAndKey("s"))
-	for range 2 * maxFollowed {
+	for range 2 * maxMissingEntries {
 		c.append(wire.JobCanceled{})
 	}
 	c.run(4 * time.Second)
-	c.logCut["late"] = true
+	c.logUnreachable["late"] = true
 	c.start("late")
-	asked := 0
+	requests := 0
 	c.dropped = func(m wire.Message) bool {
 		if _, ok := m.(wire.FetchSnapshot); ok {
-			asked++
+			requests++
 		}
 		return false
 	}
 	c.run(2 * time.Second)
-	require.Equal(t, 1, asked)
+	require.Equal(t, 1, requests)
 	require.True(t, c.authorized("late", "s"))
 	require.Equal(t, c.table("a"), c.table("late"))
 	last := c.change("2", 1, model.Declarations{Queues: []model.Queue{{Name: "q", Team: "t"}}})
--- a/internal/service/config/config.go
+++ b/internal/service/config/config.go
@@ -1,6 +1,6 @@
-// Package config keeps the declarations in force: a fold of the changes in the
-// log, the same on every instance that has read equally far. It also decides
-// whether a key gives access.
+// Package config keeps the declarations in force. They are built from the changes in
+// the log, so they are the same on every instance that has applied the log to the
+// same offset. The package also authorizes keys.
 package config
 
 import (
@@ -17,7 +17,7 @@
 	"pollenbend/internal/wire"
 )
 
-// Members tells how well this instance is connected to the others.
+// Members provides the peers of this instance and whether it can reach a majority.
 type Members interface {
 	Majority() bool
 	Peers() []model.InstanceID
@@ -30,33 +30,33 @@
 
 	state   *declare.State
 	applied uint64
-	logAt   time.Duration
+	logAt   time.Duration // when the last read was sent that found the log applied to its end
 	peers   map[model.InstanceID]peerView
 	pending map[string]*change
 	appends map[uint64]string // append id to change id
 	serial  uint64
-	// references is set when callers' keys are recorded references.
-	references bool
-	heard      map[wire.WithdrawnKey]bool // withdrawals that came from a peer first
+	// keyReferences is set when callers' keys are references from a trace.
+	keyReferences   bool
+	peerWithdrawals map[wire.WithdrawnKey]bool // withdrawals received from a peer before their change was applied
 }
 
-// peerView is what a peer's last heartbeat said of the log.
+// peerView is the state of the log according to the last heartbeat of a peer.
 type peerView struct {
-	applied   uint64
-	reachedAt time.Duration // when the peer last reached the log, on this instance's clock
-	heardAt   time.Duration
+	applied    uint64
+	reachedAt  time.Duration // when the peer last reached the log, on this instance's clock
+	receivedAt time.Duration
 }
 
-// change is an operator's change that awaits its place in the log.
+// change is an operator's change that has not been read back from the log yet.
 type change struct {
 	handles  []uint64
 	deadline time.Duration
 }
 
 const (
-	// wakeSettle is how long after a pause heartbeats may have waited for its
-	// end, so that they tell nothing of the present.
-	wakeSettle    = time.Second
+	// resumeDelay is the time after a pause of the process during which heartbeats are
+	// ignored: they may have been queued during the pause and be outdated.
+	resumeDelay   = time.Second
 	changeTimeout = 10 * time.Second
 	retryAfter    = time.Second
 )
@@ -64,42 +64,44 @@
 // New returns the configuration service.
 func New(env *event.Env) *Service {
 	return &Service{
-		env:     env,
-		state:   declare.NewState(),
-		peers:   make(map[model.InstanceID]peerView),
-		pending: make(map[string]*change),
-		appends: make(map[uint64]string),
-		heard:   make(map[wire.WithdrawnKey]bool),
+		env:             env,
+		state:           declare.NewState(),
+		peers:           make(map[model.InstanceID]peerView),
+		pending:         make(map[string]*change),
+		appends:         make(map[uint64]string),
+		peerWithdrawals: make(map[wire.WithdrawnKey]bool),
 	}
 }
 
 // Name implements kernel.Service.
 func (s *Service) Name() string { return service.Config }
 
-// Bind finds the services that this one works with.
+// Bind looks up the services that this one uses. It returns an error when one is missing.
 func (s *Service) Bind(k *kernel.Kernel) (err error) {
 	s.members, err = kernel.Find[Members](k, service.Membership)
 	return err
 }
 
-// OnLog notes that the log answered, as of the question.
+// OnLog stores that the log is applied to its end, as of the time when the read was
+// sent.
 func (s *Service) OnLog(l service.LogState) {
 	if s.applied+1 >= l.Next {
 		s.logAt = max(s.logAt, l.AskedAt)
 	}
 }
 
-// OnEntry notes how far the log is applied, and forgets withdrawals up to there.
+// OnEntry stores how far the log is applied, and removes the withdrawals up to
+// there.
 func (s *Service) OnEntry(offset uint64) {
 	s.applied = offset
-	for k := range s.heard {
+	for k := range s.peerWithdrawals {
 		if k.Offset <= offset {
-			delete(s.heard, k)
+			delete(s.peerWithdrawals, k)
 		}
 	}
 }
 
-// OnMessage notes what peers say of the log and of withdrawn keys.
+// OnMessage handles what peers report about the log and withdrawn keys.
 func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
 	switch m := m.(type) {
 	case wire.Heartbeat:
@@ -111,41 +113,42 @@
 
 func (s *Service) onHeartbeat(from wire.Owner, beat wire.Heartbeat) {
 	s.peers[from.Instance] = peerView{
-		applied: beat.Applied, reachedAt: s.env.Now() - beat.LogAge, heardAt: s.env.Now(),
+		applied: beat.Applied, reachedAt: s.env.Now() - beat.LogAge, receivedAt: s.env.Now(),
 	}
 }
 
-// Fresh reports whether the declarations known here are recent enough to take
-// work: the log, or a peer that reached it, was heard within the freshness time;
-// or, while the log is out for all, most peers are heard and none is ahead.
+// Fresh reports whether the declarations known to this instance are recent enough to
+// accept work. They are when the log, or a peer that had reached the log, answered
+// within Timing.ConfigFreshness; or, while no instance can reach the log, when this
+// instance can reach a majority and no peer has applied more of it.
 func (s *Service) Fresh() bool {
 	limit := s.env.Timing.ConfigFreshness
 	now := s.env.Now()
 	if s.logAt > 0 && now-s.logAt <= limit {
 		return true
 	}
-	heard, reached := false, false
+	reachable, reached := false, false
 	for _, p := range s.peers {
-		if now-p.heardAt > limit || p.heardAt < s.env.WokeAt()+wakeSettle {
+		if now-p.receivedAt > limit || p.receivedAt < s.env.WokeAt()+resumeDelay {
 			continue
 		}
 		if p.applied > s.applied {
 			return false
 		}
-		heard = true
+		reachable = true
 		reached = reached || now-p.reachedAt <= limit
 	}
-	return reached || heard && s.applied > 0 && s.members.Majority()
+	return reached || reachable && s.applied > 0 && s.members.Majority()
 }
 
-// OnRecord folds a change.
+// OnRecord applies a change.
 func (s *Service) OnRecord(offset uint64, r wire.Record) {
 	c, ok := r.(wire.ConfigChange)
 	if !ok {
 		return
 	}
 	result := s.state.Apply(offset, c.Change)
-	s.tellWithdrawn(result.Withdrawn)
+	s.announceWithdrawn(result.Withdrawn)
 	if p, waiting := s.pending[c.Change.ID]; waiting {
 		s.settle(c.Change.ID, p, answerOf(c.Change.ID, result))
 	}
@@ -162,8 +165,8 @@
 	return model.Answer{ID: id, Verdict: verdict.NotRun, Code: code, Message: r.Message}
 }
 
-// Change appends an operator's change. The answer comes once the change's place
-// in the log has been read back.
+// Change appends an operator's change. The answer is sent once the change has been
+// read back from the log.
 func (s *Service) Change(handle uint64, author string, c model.Change) {
 	if c.ID == "" {
 		s.serial++
@@ -183,8 +186,8 @@
 	p.handles = append(p.handles, handle)
 }
 
-// OnAppendDone refuses a change that certainly is not in the log. In doubt, the
-// fold or the deadline decides.
+// OnAppendDone refuses a change that is certainly not in the log. In doubt, the log
+// or the deadline decides.
 func (s *Service) OnAppendDone(d event.AppendDone) {
 	id, ok := s.appends[d.ID]
 	if !ok {
@@ -198,7 +201,7 @@
 	s.settle(id, p, model.Refusal(id, verdict.Refuse(verdict.CodeUnavailable, "the log does not take changes now").After(retryAfter)))
 }
 
-// OnTick ends changes whose place in the log is still open at their deadline.
+// OnTick answers changes that were not read back before their deadline.
 func (s *Service) OnTick() {
 	for _, id := range s.overdue() {
 		s.settle(id, s.pending[id], model.Answer{
@@ -230,8 +233,9 @@
 	s.env.Emit(event.Respond{Handle: handle, Answer: a})
 }
 
-// Authorize returns the team for which work may be taken from a queue, and the
-// name of the key. Only an open queue takes work without a key.
+// Authorize returns the team for which a queue accepts work with a key, and the name
+// of the key. Only an open queue accepts work without a key. It returns an error
+// when the queue is not declared, or the key is unknown or not valid for the queue.
 func (s *Service) Authorize(secret, queue string) (model.TeamID, string, *verdict.Error) {
 	q, refusal := s.queue(queue)
 	if refusal != nil {
@@ -264,8 +268,9 @@
 	return q, nil
 }
 
-// AuthorizeOperator returns the name of an operator's key. While no operator key
-// is declared, as in a new cell, anyone may declare the first.
+// AuthorizeOperator returns the name of an operator's key. While no operator key is
+// declared, as in a new cell, anyone may declare the first one. It returns an error
+// for any other key.
 func (s *Service) AuthorizeOperator(secret string) (string, *verdict.Error) {
 	key, ok := s.authenticate(secret)
 	if ok && key.Scope == model.ScopeOperator {
@@ -280,7 +285,7 @@
 	return "", verdict.Refuse(verdict.CodeUnauthorized, "the key is not known or was withdrawn")
 }
 
-// Document returns everything declared and its version.
+// Document returns all declarations and their version.
 func (s *Service) Document() (model.Declarations, uint64) {
 	return s.state.Declarations(), s.state.Version()
 }
@@ -288,5 +293,6 @@
 // Version returns the version of the declarations in force.
 func (s *Service) Version() uint64 { return s.state.Version() }
 
-// Service returns a declared service.
+// Service returns a declared service. It returns false when there is none of that
+// name.
 func (s *Service) Service(name string) (model.Service, bool) { return s.state.Service(name) }
--- a/internal/service/config/hours.go
+++ b/internal/service/config/hours.go
@@ -2,8 +2,8 @@
 
 import "pollenbend/internal/model"
 
-// team returns a team with the share and limit of this hour. Without a time of
-// day no policy is in force.
+// team returns a team with the share and limit of this hour. Policies have no effect
+// while the time of day is unknown.
 func (s *Service) team(id model.TeamID) (model.Team, bool) {
 	if wall := s.env.Wall(); !wall.IsZero() {
 		return s.state.TeamAt(id, wall)
@@ -20,7 +20,7 @@
 	return teams
 }
 
-// Limit returns the most tasks that a team may run at this hour by this
+// Limit returns the maximum number of running tasks of a team at this hour by this
 // instance's clock, 0 for no limit.
 func (s *Service) Limit(id model.TeamID) int64 {
 	t, _ := s.team(id)
--- a/internal/service/config/reference.go
+++ b/internal/service/config/reference.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// hashReference begins the reference of a declared key. The log holds the
-	// same hash.
+	// hashReference is the prefix of the reference to a declared key. The log contains
+	// the same hash.
 	hashReference = "sha256:"
-	// unknownReference stands for every key that was not known. Not even its
-	// hash is kept: it may be anything that a caller took for a key.
+	// unknownReference replaces every unknown key. Not even its hash is kept, because it
+	// may be any text that a caller took for a key.
 	unknownReference = "unknown"
 )
 
-// KeyReference returns what stands for a caller's key in a trace, at this moment.
-// It holds no secret.
+// KeyReference returns the reference that replaces a caller's key in a trace. It
+// contains no secret.
 func (s *Service) KeyReference(secret string) string {
 	if secret == "" {
 		return ""
@@ -27,12 +27,12 @@
 	return unknownReference
 }
 
-// TakeReferences makes this service take references for callers' keys, and no
-// secrets.
-func (s *Service) TakeReferences() { s.references = true }
+// AcceptKeyReferences makes this service accept references in place of callers'
+// keys, and no secrets.
+func (s *Service) AcceptKeyReferences() { s.keyReferences = true }
 
 func (s *Service) authenticate(secret string) (model.Key, bool) {
-	if !s.references {
+	if !s.keyReferences {
 		return s.state.Authenticate(secret)
 	}
 	hash, ok := strings.CutPrefix(secret, hashReference)
--- a/internal/service/config/snapshot.go
+++ b/internal/service/config/snapshot.go
@@ -14,8 +14,9 @@
 // Snapshot implements service.Snapshotter.
 func (s *Service) Snapshot() []byte { return s.state.Snapshot() }
 
-// Restore implements service.Snapshotter. A state that folded more stays. Changes
-// that the snapshot settles are answered.
+// Restore implements service.Snapshotter. A state that has applied more changes is
+// kept. Changes that the snapshot contains are answered. It returns an error when
+// data is malformed.
 func (s *Service) Restore(data []byte) error {
 	other, err := declare.Restore(data)
 	if err != nil {
--- a/internal/service/config/withdraw.go
+++ b/internal/service/config/withdraw.go
@@ -5,27 +5,27 @@
 	"pollenbend/internal/wire"
 )
 
-// onWithdrawn refuses keys that a peer says are withdrawn, and passes on what is
-// new, so that the word goes round broken links.
+// onWithdrawn refuses keys that a peer reports as withdrawn, and forwards those that
+// are new, so that the report also reaches peers behind broken links.
 func (s *Service) onWithdrawn(m wire.KeysWithdrawn) {
-	var fresh []wire.WithdrawnKey
+	var added []wire.WithdrawnKey
 	for _, k := range m.Keys {
 		if s.state.Withdraw(declare.Withdrawal(k)) {
-			s.heard[k] = true
-			fresh = append(fresh, k)
+			s.peerWithdrawals[k] = true
+			added = append(added, k)
 		}
 	}
-	s.sendWithdrawn(fresh)
+	s.sendWithdrawn(added)
 }
 
-// tellWithdrawn tells peers of keys that a folded change withdrew, unless a peer
-// told of them first.
-func (s *Service) tellWithdrawn(list []declare.Withdrawal) {
+// announceWithdrawn sends the keys that an applied change withdrew to the peers,
+// except those already received from a peer.
+func (s *Service) announceWithdrawn(list []declare.Withdrawal) {
 	var keys []wire.WithdrawnKey
 	for _, w := range list {
 		k := wire.WithdrawnKey(w)
-		if s.heard[k] {
-			delete(s.heard, k)
+		if s.peerWithdrawals[k] {
+			delete(s.peerWithdrawals, k)
 			continue
 		}
 		keys = append(keys, k)
@@ -33,8 +33,8 @@
 	s.sendWithdrawn(keys)
 }
 
-// sendWithdrawn sends keys to the peers heard so far that have not applied the
-// log up to them. An instance that reads old entries thus tells nobody.
+// sendWithdrawn sends keys to the known peers that have not applied the log up to
+// them. An instance that replays old entries therefore sends nothing.
 func (s *Service) sendWithdrawn(keys []wire.WithdrawnKey) {
 	if len(keys) == 0 {
 		return
