--- a/internal/event/env.go
+++ b/internal/event/env.go
@@ -9,39 +9,40 @@
 	"pollenbend/internal/wire"
 )
 
-// Timing holds the durations that the services work with.
+// Timing contains the durations that the services use.
 type Timing struct {
 	Heartbeat       time.Duration // between heartbeats to each peer
-	DeadAfter       time.Duration // silence after which a peer counts as dead
+	DeadAfter       time.Duration // time without a heartbeat after which a peer may count as dead
 	WorkerLease     time.Duration // how long a worker lease lasts without renewal
-	TaskLease       time.Duration // how long a worker runs tasks on without renewal
-	ConfigFreshness time.Duration // longest time without log and peers in which work is taken
+	TaskLease       time.Duration // how long a worker continues its tasks without renewal
+	ConfigFreshness time.Duration // maximum time without log and peers during which work is accepted
 	Retention       time.Duration // how long a finished request is remembered
-	RequestTimeout  time.Duration // longest time a caller may wait
+	RequestTimeout  time.Duration // maximum time that a caller may wait
 }
 
-// Env is what the services of one core share: time, randomness, identity and the
-// actions of the current step. It is owned by the core's goroutine.
+// Env is shared by the services of one core: time, randomness, identity and the
+// actions of the current step. It must only be used by the goroutine of the core.
 type Env struct {
 	Self   platform.Instance
 	Timing Timing
 
-	now     time.Duration
-	wokeAt  time.Duration
-	wall    time.Time
-	rng     *rand.Rand
-	actions []Action
-	appends uint64
-	notes   uint64
-	recent  []Note
+	now         time.Duration
+	resumedAt   time.Duration
+	wall        time.Time
+	rng         *rand.Rand
+	actions     []Action
+	appends     uint64
+	notes       uint64
+	recentNotes []Note
 }
 
-// NewEnv returns an Env whose randomness is drawn from seed.
+// NewEnv returns an Env whose random numbers are derived from seed and the
+// incarnation of self.
 func NewEnv(self platform.Instance, timing Timing, seed uint64) *Env {
 	return &Env{Self: self, Timing: timing, rng: rand.New(rand.NewPCG(seed, uint64(self.Incarnation)))}
 }
 
-// Owner returns this instance in its present life.
+// Owner returns this instance in its current incarnation.
 func (e *Env) Owner() wire.Owner {
 	return wire.Owner{Instance: e.Self.ID, Incarnation: e.Self.Incarnation}
 }
@@ -50,14 +51,14 @@
 func (e *Env) Now() time.Duration { return e.now }
 
 // Wall returns the time of day as of the last tick, or zero if it is not known. It
-// may run backwards and differ between instances; only rules that are declared
-// by the hour may follow it.
+// may run backwards and differ between instances; only rules that are declared for
+// hours of the day may depend on it.
 func (e *Env) Wall() time.Time { return e.wall }
 
 // SetWall sets the time of day.
 func (e *Env) SetWall(t time.Time) { e.wall = t }
 
-// Rand returns the source of randomness.
+// Rand returns the random number generator.
 func (e *Env) Rand() *rand.Rand { return e.rng }
 
 // Emit adds an action to the current step.
@@ -66,60 +67,62 @@
 // Send emits a message to a peer.
 func (e *Env) Send(to model.InstanceID, m wire.Message) { e.Emit(Send{To: to, Message: m}) }
 
-// Append emits records for the log and returns the id that AppendDone will carry.
+// Append emits records for the log and returns the id that the AppendDone will
+// carry.
 func (e *Env) Append(records ...wire.Record) uint64 {
 	e.appends++
 	e.Emit(Append{ID: e.appends, Records: records})
 	return e.appends
 }
 
-// pauseGap is a time between steps that only a pause of the process explains:
-// ticks come far more often.
-const pauseGap = time.Second
+// pauseThreshold is a time between steps that is only exceeded when the process was
+// paused: ticks come far more often.
+const pauseThreshold = time.Second
 
-// Begin starts a step at now. Time never runs backwards.
+// Begin starts a step at now. Now never returns an earlier time than before.
 func (e *Env) Begin(now time.Duration) {
-	if now-e.now > pauseGap {
-		e.wokeAt = now
+	if now-e.now > pauseThreshold {
+		e.resumedAt = now
 	}
 	e.now = max(e.now, now)
 	e.actions = nil
 }
 
-// WokeAt returns when the last pause of this process ended, or its start. What
-// arrives just after may have waited for that, and be old.
-func (e *Env) WokeAt() time.Duration { return e.wokeAt }
+// WokeAt returns when the last pause of this process ended, or when it started.
+// Input that arrives just after that may have been queued during the pause and be
+// outdated.
+func (e *Env) WokeAt() time.Duration { return e.resumedAt }
 
 // Take ends the step and returns its actions.
 func (e *Env) Take() []Action {
-	taken := e.actions
+	actions := e.actions
 	e.actions = nil
-	return taken
+	return actions
 }
 
-// maxNotes bounds the notes kept for the time line.
+// maxNotes is the number of notes kept for the timeline.
 const maxNotes = 4096
 
-// Note adds an event to the time line and returns its sequence number.
+// Note adds an event to the timeline and returns its sequence number.
 func (e *Env) Note(n Note) uint64 {
 	e.notes++
 	n.Seq, n.At = e.notes, e.now
-	e.recent = append(e.recent, n)
-	if len(e.recent) >= 2*maxNotes {
-		e.recent = append([]Note(nil), e.recent[len(e.recent)-maxNotes:]...)
+	e.recentNotes = append(e.recentNotes, n)
+	if len(e.recentNotes) >= 2*maxNotes {
+		e.recentNotes = append([]Note(nil), e.recentNotes[len(e.recentNotes)-maxNotes:]...)
 	}
 	e.Emit(n)
 	return n.Seq
 }
 
-// Notes returns the kept events of the time line after since.
+// Notes returns the kept events of the timeline with a sequence number above since.
 func (e *Env) Notes(since uint64) []Note {
-	first := e.notes - uint64(len(e.recent)) + 1
+	first := e.notes - uint64(len(e.recentNotes)) + 1
 	if since+1 < first {
 		since = first - 1
 	}
 	if since >= e.notes {
 		return nil
 	}
-	return e.recent[since+1-first:]
+	return e.recentNotes[since+1-first:]
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,5 +1,5 @@
-// Package event defines what enters and leaves the decision core. The core does
-// no I/O: it turns each Event into Actions, and the node carries them out.
+// Package event defines the input and output of the decision core. The core does no
+// I/O: it turns each Event into Actions, which the node executes.
 package event
 
 import (
@@ -11,24 +11,25 @@
 	"pollenbend/internal/wire"
 )
 
-// Event enters the core.
+// Event is an input of the core.
 type Event interface{ isEvent() }
 
-// Tick arrives at a steady rate. Wall is the time of day by this instance's
+// Tick arrives at a fixed interval. Wall is the time of day by this instance's
 // clock, or zero if it is not known.
 type Tick struct{ Wall time.Time }
 
-// LogRead carries entries read from the log, in order. An empty one tells that
-// the log answered.
+// LogRead carries entries read from the log, in order. One without entries shows
+// that the log answered. Oldest is the offset of the oldest entry in the log, Next
+// the one after its newest.
 type LogRead struct {
 	Entries []platform.Entry
 	Oldest  uint64
 	Next    uint64
-	AskedAt time.Duration // core time at which the read was asked
+	AskedAt time.Duration // core time at which the read was requested
 }
 
-// AppendDone ends an Append. With MayHaveRun it is open whether the records are
-// in the log.
+// AppendDone is the result of an Append. With the verdict MayHaveRun it is unknown
+// whether the records are in the log.
 type AppendDone struct {
 	ID      uint64
 	Offset  uint64
@@ -44,21 +45,21 @@
 	Message wire.Message
 }
 
-// PeerDown tells that the connection to a peer is lost. Messages sent to it
-// lately may not have arrived.
+// PeerDown reports that the connection to a peer is lost. Messages recently sent to
+// it may not have arrived.
 type PeerDown struct{ Peer wire.Owner }
 
-// RenewDone ends a Renew.
+// RenewDone is the result of a Renew.
 type RenewDone struct {
 	Worker model.WorkerID
 	Lease  platform.LeaseRef
 	Full   bool
-	SentAt time.Duration // core time at which the request left
+	SentAt time.Duration // core time at which the request was sent
 	Reply  platform.RenewReply
 	Failed bool
 }
 
-// StartDone ends a Start.
+// StartDone is the result of a Start.
 type StartDone struct {
 	Worker  model.WorkerID
 	Lease   platform.LeaseRef
@@ -68,16 +69,16 @@
 	Reason  string
 }
 
-// RequestIn is a caller's request. Handle names the waiting caller.
+// RequestIn is a caller's request. Handle identifies the waiting caller.
 type RequestIn struct {
 	Handle  uint64
 	Request model.Request
 }
 
-// RequestGone tells that the caller has gone away.
+// RequestGone reports that the caller has disconnected.
 type RequestGone struct{ Handle uint64 }
 
-// DrainStarted asks the core to hand over everything it owns.
+// DrainStarted requests that the core hands over everything that it owns.
 type DrainStarted struct{}
 
 func (Tick) isEvent()         {}
@@ -92,11 +93,11 @@
 func (RequestGone) isEvent()  {}
 func (DrainStarted) isEvent() {}
 
-// Action leaves the core.
+// Action is an output of the core.
 type Action interface{ isAction() }
 
-// Append asks for records to be appended to the log, all in one entry. The node
-// may put the records of several appends into one entry.
+// Append requests that records are appended to the log, all in one entry. The node
+// may combine the records of several appends in one entry.
 type Append struct {
 	ID      uint64
 	Records []wire.Record
@@ -108,45 +109,45 @@
 	Message wire.Message
 }
 
-// Renew takes, renews or releases a worker's lease.
+// Renew acquires, renews or releases a worker's lease.
 type Renew struct {
 	Worker  model.Worker
 	Request platform.RenewRequest
 }
 
-// Start starts a task.
+// Start starts a task on a worker.
 type Start struct {
 	Worker  model.Worker
 	Request platform.StartRequest
 }
 
-// Stop stops a task.
+// Stop stops a task on a worker.
 type Stop struct {
 	Worker  model.Worker
 	Request platform.StopRequest
 }
 
-// Respond gives a caller its final answer.
+// Respond sends a caller its final answer.
 type Respond struct {
 	Handle uint64
 	Answer model.Answer
 }
 
-// Drain asks the node to start a graceful shutdown of the whole process.
+// Drain requests a graceful shutdown of the whole process.
 type Drain struct{}
 
-// Ref names an event of the time line.
+// Ref identifies an event of the timeline.
 type Ref struct {
 	Instance model.InstanceID `json:"instance"`
 	Seq      uint64           `json:"seq"`
 }
 
-// Note is one event of the time line. Subject names what it is about: a shard, a
-// worker, a task, an instance. Offset, when set, is the log entry that caused it;
+// Note is one event of the timeline. Subject names what it is about: a shard, a
+// worker, a task or an instance. Offset, when set, is the log entry that caused it;
 // it orders events of different instances without a common clock.
 type Note struct {
 	Seq     uint64        `json:"seq"`
-	At      time.Duration `json:"at_ns"` // on the instance's own monotonic clock
+	At      time.Duration `json:"at_ns"` // on the monotonic clock of the instance
 	Kind    string        `json:"kind"`
 	Subject string        `json:"subject"`
 	Detail  string        `json:"detail,omitempty"`
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,16 +1,16 @@
 // Package kernel is the registry through which the services of the decision core
-// find each other by name.
+// look each other up by name.
 package kernel
 
 import "github.com/cockroachdb/errors"
 
-// Service is anything that can be registered.
+// Service is a service that can be registered.
 type Service interface {
-	// Name returns the name under which other services find this one.
+	// Name returns the name under which other services look this one up.
 	Name() string
 }
 
-// Kernel holds services in the order of their registration.
+// Kernel contains services in the order of their registration.
 type Kernel struct {
 	byName map[string]Service
 	order  []Service
@@ -19,10 +19,10 @@
 // New returns an empty Kernel.
 func New() *Kernel { return &Kernel{byName: make(map[string]Service)} }
 
-// Register adds s. It returns an error when the name is taken.
+// Register adds s. It returns an error when its name is already registered.
 func (k *Kernel) Register(s Service) error {
 	if _, taken := k.byName[s.Name()]; taken {
-		return errors.Newf("service %q is registered already", s.Name())
+		return errors.Newf("service %q is already registered", s.Name())
 	}
 	k.byName[s.Name()] = s
 	k.order = append(k.order, s)
@@ -35,7 +35,7 @@
 	var zero T
 	s, ok := k.byName[name]
 	if !ok {
-		return zero, errors.Newf("no service %q", name)
+		return zero, errors.Newf("service %q is not registered", name)
 	}
 	t, ok := s.(T)
 	if !ok {
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,30 +1,31 @@
-// Package model holds the nouns that every other package shares: workers,
-// tasks, jobs, teams and declarations. It has no behaviour beyond arithmetic and
+// Package model defines the types that all other packages share: workers, tasks,
+// jobs, teams and declarations. It contains no behaviour beyond arithmetic and
 // matching.
 package model
 
 import "time"
 
-// InstanceID names one of the system's own instances. It stays the same across
-// restarts; Incarnation tells the restarts apart.
+// InstanceID identifies one of the scheduler's own instances. It stays the same
+// across restarts; Incarnation distinguishes them.
 type InstanceID string
 
-// WorkerID names a worker instance of the platform.
+// WorkerID identifies a worker instance of the platform.
 type WorkerID string
 
-// TeamID names a team.
+// TeamID identifies a team.
 type TeamID string
 
-// TaskID names a task in the whole fleet. A task runs at most once, in one place.
+// TaskID identifies a task in the whole fleet. A task runs at most once, on one
+// worker.
 type TaskID string
 
-// JobID names an accepted job.
+// JobID identifies an accepted job.
 type JobID string
 
-// Incarnation tells two lives of the same instance or worker apart.
+// Incarnation distinguishes the runs of the process of an instance or worker.
 type Incarnation uint64
 
-// Resources is an amount of what a worker has or a task needs.
+// Resources is a worker's capacity or a task's demand. Slots counts task slots.
 type Resources struct {
 	MilliCPU     int64 `json:"milli_cpu,omitempty" cbor:"1,keyasint,omitempty" toml:"milli_cpu,omitempty"`
 	MemoryMiB    int64 `json:"memory_mib,omitempty" cbor:"2,keyasint,omitempty" toml:"memory_mib,omitempty"`
@@ -84,7 +85,8 @@
 	OpNotExists Operator = "not_exists"
 )
 
-// Requirement is one term of a selector. Equality is OpIn with one value.
+// Requirement is one term of a selector. Equality is expressed as OpIn with one
+// value.
 type Requirement struct {
 	Label  string   `json:"label" cbor:"1,keyasint" toml:"label"`
 	Op     Operator `json:"op" cbor:"2,keyasint" toml:"op"`
@@ -146,7 +148,7 @@
 	KindService Kind = "service" // kept running until canceled
 )
 
-// Class orders work of one team.
+// Class is the priority of work within its team.
 type Class string
 
 // Classes of work.
@@ -156,7 +158,7 @@
 	ClassLow    Class = "low"
 )
 
-// Task is one unit that runs on one worker.
+// Task is a unit of work that runs on one worker.
 type Task struct {
 	ID         TaskID        `json:"id" cbor:"1,keyasint"`
 	Job        JobID         `json:"job,omitempty" cbor:"2,keyasint,omitempty"`
@@ -171,18 +173,18 @@
 	SpreadBy   string        `json:"spread_by,omitempty" cbor:"11,keyasint,omitempty"` // "rack", "zone" or ""
 	Payload    []byte        `json:"payload,omitempty" cbor:"12,keyasint,omitempty"`
 	Repeatable bool          `json:"repeatable,omitempty" cbor:"13,keyasint,omitempty"`
-	RunTime    time.Duration `json:"run_time,omitempty" cbor:"14,keyasint,omitempty"` // declared, often wrong
+	RunTime    time.Duration `json:"run_time,omitempty" cbor:"14,keyasint,omitempty"` // estimate of the caller, often wrong
 }
 
-// Job is work accepted for later: Count tasks made from Template.
+// Job is work accepted for later execution: Count tasks made from Template.
 type Job struct {
 	ID       JobID `json:"id" cbor:"1,keyasint"`
 	Count    int   `json:"count" cbor:"2,keyasint"`
 	Template Task  `json:"template" cbor:"3,keyasint"`
 }
 
-// Outcome is the result of one task as its worker reports it. Answer is
-// complete when Complete is set; a cut answer is never passed on.
+// Outcome is the result of a task as its worker reports it. Complete is set when
+// Answer is complete; a truncated answer is never passed on.
 type Outcome struct {
 	Task     TaskID        `json:"task" cbor:"1,keyasint"`
 	Failed   bool          `json:"failed,omitempty" cbor:"2,keyasint,omitempty"`
@@ -191,5 +193,5 @@
 	Complete bool          `json:"complete,omitempty" cbor:"5,keyasint,omitempty"`
 	Ran      time.Duration `json:"ran,omitempty" cbor:"6,keyasint,omitempty"`
 	Usage    Resources     `json:"usage,omitempty" cbor:"7,keyasint,omitempty"`
-	Stopped  bool          `json:"stopped,omitempty" cbor:"8,keyasint,omitempty"` // ended by a stop command or a lapsed lease
+	Stopped  bool          `json:"stopped,omitempty" cbor:"8,keyasint,omitempty"` // ended by a stop command or an expired lease
 }
--- a/internal/model/request.go
+++ b/internal/model/request.go
@@ -6,13 +6,13 @@
 	"pollenbend/internal/verdict"
 )
 
-// Op is what a caller asks for.
+// Op is the operation that a caller requests.
 type Op string
 
 // Operations.
 const (
 	OpCall      Op = "call"       // run a short task and wait for its answer
-	OpSubmit    Op = "submit"     // accept a job for later
+	OpSubmit    Op = "submit"     // accept a job for later execution
 	OpStatus    Op = "status"     // state of a request or job by id
 	OpCancel    Op = "cancel"     // cancel a request or job by id
 	OpTicket    Op = "ticket"     // issue tickets for requests that must not be repeated
@@ -23,23 +23,23 @@
 	OpDrainSelf Op = "drain_self" // start a graceful shutdown of this instance; operators only
 )
 
-// Request is a caller's request as the HTTP side hands it to the core.
+// Request is a caller's request as the HTTP server passes it to the core.
 type Request struct {
 	Op      Op     `cbor:"1,keyasint"`
 	Key     string `cbor:"2,keyasint,omitempty"` // secret as presented; never logged or stored
 	Queue   string `cbor:"3,keyasint,omitempty"`
-	ID      string `cbor:"4,keyasint,omitempty"` // ticket or Idempotency-Key; minted when empty
+	ID      string `cbor:"4,keyasint,omitempty"` // ticket or Idempotency-Key; generated when empty
 	Service string `cbor:"5,keyasint,omitempty"`
-	Task    Task   `cbor:"6,keyasint"`           // call and submit: the caller's part of the task
-	Count   int    `cbor:"7,keyasint,omitempty"` // submit: tasks; ticket: tickets
-	// Timeout is the time the caller still waits, measured from receipt.
+	Task    Task   `cbor:"6,keyasint"`           // call and submit: the part of the task that the caller specified
+	Count   int    `cbor:"7,keyasint,omitempty"` // submit: number of tasks; ticket: number of tickets
+	// Timeout is the time that the caller will still wait, measured from receipt.
 	Timeout time.Duration `cbor:"8,keyasint,omitempty"`
 	Change  *Change       `cbor:"9,keyasint,omitempty"`
 	Why     bool          `cbor:"10,keyasint,omitempty"` // status: explain the wait
 	Since   uint64        `cbor:"11,keyasint,omitempty"` // timeline: first event wanted
 }
 
-// Answer is the whole answer to a Request.
+// Answer is the complete answer to a Request.
 type Answer struct {
 	ID         string          `json:"id,omitempty" cbor:"1,keyasint,omitempty"`
 	Verdict    verdict.Verdict `json:"verdict" cbor:"2,keyasint"`
@@ -55,7 +55,7 @@
 	Version uint64        `json:"version,omitempty" cbor:"10,keyasint,omitempty"` // of the configuration
 }
 
-// Refusal turns an error with a verdict into an answer.
+// Refusal returns the answer that reports an error with a verdict.
 func Refusal(id string, e *verdict.Error) Answer {
 	return Answer{ID: id, Verdict: e.Verdict, Code: e.Code, Message: e.Message, RetryAfter: e.RetryAfter}
 }
--- a/internal/model/shard.go
+++ b/internal/model/shard.go
@@ -13,17 +13,18 @@
 // hashed. Each shard has one owner and a term.
 const Shards = 256
 
-// Shard numbers a shard, from 0 to Shards-1.
+// Shard is the number of a shard, from 0 to Shards-1.
 type Shard uint16
 
 // ShardOfWorker returns the shard whose owner may lease the worker.
 func ShardOfWorker(id WorkerID) Shard { return hashShard("w/" + string(id)) }
 
-// ShardOfTeam returns the shard whose owner keeps the team's upper limit.
+// ShardOfTeam returns the shard whose owner is responsible for the team's upper
+// limit.
 func ShardOfTeam(id TeamID) Shard { return hashShard("t/" + string(id)) }
 
 // ShardOfRequest returns the shard whose owner remembers the request. A ticket
-// names its shard; any other id is hashed together with its team.
+// contains its shard; any other id is hashed together with its team.
 func ShardOfRequest(team TeamID, id string) Shard {
 	if t, ok := parseTicket(id); ok {
 		return t.Shard
@@ -33,8 +34,9 @@
 
 func hashShard(s string) Shard { return Shard(xxhash.Sum64String(s) % Shards) }
 
-// Ticket is a request id that an owner of a shard issued. While the owner's term
-// is the ticket's, the owner knows for certain whether it has seen the request.
+// Ticket is a request id that the owner of a shard issued. As long as the term of
+// the shard is that of the ticket, the owner knows for certain whether it has seen
+// the request.
 type Ticket struct {
 	Shard  Shard
 	Term   uint64
@@ -43,13 +45,13 @@
 
 const ticketPrefix = "tk"
 
-// String returns the ticket as callers carry it.
+// String returns the text form of the ticket that callers send.
 func (t Ticket) String() string {
 	return fmt.Sprintf("%s-%d-%d-%s", ticketPrefix, t.Shard, t.Term, t.Serial)
 }
 
-// ParseTicket parses the form that String returns. It returns an error for any
-// other text.
+// ParseTicket parses the form that String returns. It returns an error for any other
+// text.
 func ParseTicket(s string) (Ticket, error) {
 	t, ok := parseTicket(s)
 	if !ok {
@@ -58,7 +60,7 @@
 	return t, nil
 }
 
-// parseTicket parses a ticket without the cost of an error for other ids.
+// parseTicket parses a ticket without the cost of allocating an error for other ids.
 func parseTicket(s string) (Ticket, bool) {
 	rest, ok := strings.CutPrefix(s, ticketPrefix+"-")
 	if !ok {
@@ -84,43 +86,43 @@
 	return TaskID(string(team) + "/" + id + "/" + strconv.Itoa(index))
 }
 
-// runMark separates the run number from a task id.
-const runMark = "~"
+// runSeparator separates a task id from its run number.
+const runSeparator = "~"
 
 // WithRun returns the id under which run number run of the task is started. Run 1
-// carries the plain id; a later run follows only after the known end of the one
-// before it.
+// has the plain id; a later run starts only after the previous one is known to have
+// ended.
 func WithRun(id TaskID, run int) TaskID {
 	if run <= 1 {
 		return id
 	}
-	return id + TaskID(runMark+strconv.Itoa(run))
+	return id + TaskID(runSeparator+strconv.Itoa(run))
 }
 
 // BaseTask returns id without its run number.
 func BaseTask(id TaskID) TaskID {
 	s := string(id)
-	mark := strings.LastIndex(s, runMark)
-	if mark < 0 || strings.IndexByte(s[mark:], '/') >= 0 {
+	separator := strings.LastIndex(s, runSeparator)
+	if separator < 0 || strings.IndexByte(s[separator:], '/') >= 0 {
 		return id
 	}
-	return TaskID(s[:mark])
+	return TaskID(s[:separator])
 }
 
-// RunOf returns the run number of a task id.
+// RunOf returns the run number of a task id, 1 when the id has none.
 func RunOf(id TaskID) int {
 	base := BaseTask(id)
 	if base == id {
 		return 1
 	}
-	run, err := strconv.Atoi(string(id[len(base)+len(runMark):]))
+	run, err := strconv.Atoi(string(id[len(base)+len(runSeparator):]))
 	if err != nil {
 		return 1
 	}
 	return run
 }
 
-// RequestOfTask splits a task id into the parts TaskIDOf joined, leaving out the
+// RequestOfTask splits a task id into the parts that TaskIDOf joined, without the
 // run number. It returns an error when id has another form.
 func RequestOfTask(id TaskID) (team TeamID, request string, index int, err error) {
 	s := string(BaseTask(id))
@@ -135,7 +137,8 @@
 	return TeamID(s[:first]), s[first+1 : last], index, nil
 }
 
-// ShardOfTask returns the shard of the request or job that the task belongs to.
+// ShardOfTask returns the shard of the request or job that the task belongs to. An
+// id of another form is hashed as a whole.
 func ShardOfTask(id TaskID) Shard {
 	team, request, _, err := RequestOfTask(id)
 	if err != nil {
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -9,7 +9,7 @@
 
 type kind uint8
 
-// Kinds are part of the encoding: never renumber them.
+// The values are part of the encoding and must never change.
 const (
 	kindClaim kind = iota + 1
 	kindHandover
@@ -92,7 +92,7 @@
 	return types
 }
 
-// envelope is one encoded record or message.
+// envelope is an encoded record or message with its kind.
 type envelope struct {
 	_    struct{} `cbor:",toarray"`
 	Kind kind
@@ -109,12 +109,12 @@
 	return mode
 }
 
-func seal(k kind, v any) (envelope, error) {
+func encodeEnvelope(k kind, v any) (envelope, error) {
 	body, err := encMode.Marshal(v)
 	return envelope{Kind: k, Body: body}, errors.Wrap(err, "encode body")
 }
 
-func open[T any](e envelope, types map[kind]reflect.Type) (T, error) {
+func decodeBody[T any](e envelope, types map[kind]reflect.Type) (T, error) {
 	var zero T
 	typ, ok := types[e.Kind]
 	if !ok {
@@ -127,11 +127,12 @@
 	return target.Elem().Interface().(T), nil
 }
 
-// EncodeEntry encodes a batch of records as one log entry.
+// EncodeEntry encodes a batch of records as one log entry. It returns an error when
+// a record cannot be encoded.
 func EncodeEntry(records []Record) ([]byte, error) {
 	list := make([]envelope, 0, len(records))
 	for _, r := range records {
-		e, err := seal(r.recordKind(), r)
+		e, err := encodeEnvelope(r.recordKind(), r)
 		if err != nil {
 			return nil, err
 		}
@@ -140,8 +141,8 @@
 	return encMode.Marshal(list)
 }
 
-// DecodeEntry decodes a log entry. Records of an unknown kind, written by a newer
-// version, are left out; it returns an error when the entry itself is malformed.
+// DecodeEntry decodes a log entry. It skips records of an unknown kind, which a
+// newer version wrote, and returns an error when the entry is malformed.
 func DecodeEntry(data []byte) ([]Record, error) {
 	var list []envelope
 	if err := cbor.Unmarshal(data, &list); err != nil {
@@ -152,7 +153,7 @@
 		if _, known := recordTypes[e.Kind]; !known {
 			continue
 		}
-		r, err := open[Record](e, recordTypes)
+		r, err := decodeBody[Record](e, recordTypes)
 		if err != nil {
 			return nil, err
 		}
@@ -161,9 +162,10 @@
 	return records, nil
 }
 
-// EncodeMessage encodes a message.
+// EncodeMessage encodes a message. It returns an error when the message cannot be
+// encoded.
 func EncodeMessage(m Message) ([]byte, error) {
-	e, err := seal(m.messageKind(), m)
+	e, err := encodeEnvelope(m.messageKind(), m)
 	if err != nil {
 		return nil, err
 	}
@@ -177,5 +179,5 @@
 	if err := cbor.Unmarshal(data, &e); err != nil {
 		return nil, errors.Wrap(err, "decode message")
 	}
-	return open[Message](e, messageTypes)
+	return decodeBody[Message](e, messageTypes)
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -7,7 +7,7 @@
 	"pollenbend/internal/platform"
 )
 
-// Message is sent from one instance to another.
+// Message is a message from one instance to another.
 type Message interface{ messageKind() kind }
 
 // TeamLoad is one team's part of a heartbeat.
@@ -15,8 +15,8 @@
 	Team    model.TeamID `cbor:"1,keyasint" json:"team"`
 	Running int64        `cbor:"2,keyasint,omitempty" json:"running,omitempty"` // running or starting on the sender's workers
 	Waiting int64        `cbor:"3,keyasint,omitempty" json:"waiting,omitempty"` // queued at the sender
-	// Ceiling is the most the sender allows itself; GrantTerm and GrantSeq name
-	// the last grant it applied.
+	// Ceiling is the maximum number of tasks that the sender allows itself; GrantTerm
+	// and GrantSeq identify the last grant it applied.
 	Ceiling   int64           `cbor:"4,keyasint,omitempty" json:"ceiling,omitempty"`
 	GrantTerm uint64          `cbor:"5,keyasint,omitempty" json:"grant_term,omitempty"`
 	GrantSeq  uint64          `cbor:"6,keyasint,omitempty" json:"grant_seq,omitempty"`
@@ -24,20 +24,21 @@
 	Usage     model.Resources `cbor:"8,keyasint,omitempty" json:"usage,omitempty"`
 }
 
-// Heartbeat tells that the sender lives, whom it hears and what it holds.
+// Heartbeat reports that the sender is live, which instances it can reach and the
+// load on its workers.
 type Heartbeat struct {
 	Seq      uint64          `cbor:"1,keyasint" json:"seq"`
-	Applied  uint64          `cbor:"2,keyasint" json:"applied"` // log offset applied last
-	Hears    []Owner         `cbor:"3,keyasint,omitempty" json:"hears,omitempty"`
+	Applied  uint64          `cbor:"2,keyasint" json:"applied"`                   // offset of the last log entry applied
+	Hears    []Owner         `cbor:"3,keyasint,omitempty" json:"hears,omitempty"` // instances that the sender can reach
 	Leaving  bool            `cbor:"4,keyasint,omitempty" json:"leaving,omitempty"`
-	Free     model.Resources `cbor:"5,keyasint" json:"free"` // on workers the sender leases
+	Free     model.Resources `cbor:"5,keyasint" json:"free"` // on workers whose lease the sender holds
 	Teams    []TeamLoad      `cbor:"6,keyasint,omitempty" json:"teams,omitempty"`
 	Coverage uint64          `cbor:"7,keyasint" json:"coverage"` // version of the sender's Coverage
 	LogAge   time.Duration   `cbor:"8,keyasint" json:"log_age"`  // since the sender last reached the log
 }
 
-// Coverage lists the workers that the sender leases and whose state it knows
-// completely. It replaces the sender's earlier one when Version is higher.
+// Coverage lists the workers whose lease the sender holds and whose state it knows
+// completely. It replaces the previous one of the sender when Version is higher.
 type Coverage struct {
 	Version uint64           `cbor:"1,keyasint" json:"version"`
 	Workers []model.WorkerID `cbor:"2,keyasint" json:"workers"`
@@ -46,22 +47,24 @@
 // FetchCoverage asks a peer for its Coverage.
 type FetchCoverage struct{}
 
-// Grant sets the ceiling of the receiver for a team. It applies only when
-// (Term, Seq) is above the last one applied.
+// Grant sets the ceiling of the receiver for a team. It is applied only when (Term,
+// Seq) is higher than that of the last one applied.
 type Grant struct {
 	Team    model.TeamID `cbor:"1,keyasint" json:"team"`
 	Term    uint64       `cbor:"2,keyasint" json:"term"`
 	Seq     uint64       `cbor:"3,keyasint" json:"seq"`
 	Ceiling int64        `cbor:"4,keyasint" json:"ceiling"`
-	Limit   int64        `cbor:"6,keyasint" json:"limit"` // that the owner split
-	// To is the receiver's life that is meant; in a later one it has another account.
+	Limit   int64        `cbor:"6,keyasint" json:"limit"` // limit that the shard owner split
+	// To is the incarnation of the receiver for which the grant is meant; a later one
+	// has its own account.
 	To model.Incarnation `cbor:"7,keyasint" json:"to"`
-	// Beat is the receiver's heartbeat on which the grant is based.
+	// Beat is the sequence number of the heartbeat of the receiver on which the grant is
+	// based.
 	Beat uint64 `cbor:"5,keyasint,omitempty" json:"beat,omitempty"`
 }
 
-// Forward hands a caller's request to the owner of its shard. The key has been
-// checked: Team and Operator say for whom.
+// Forward passes a caller's request to the owner of its shard. The sender has
+// checked the key, which belongs to Team.
 type Forward struct {
 	Handle  uint64        `cbor:"1,keyasint" json:"handle"`
 	Team    model.TeamID  `cbor:"2,keyasint" json:"team"`
@@ -75,27 +78,27 @@
 	Answer model.Answer `cbor:"2,keyasint" json:"answer"`
 }
 
-// Dispatch asks a worker holder to run a task. (Term, Attempt) orders the
-// dispatches of one task.
+// Dispatch asks a lease holder to run a task. (Term, Attempt) orders the dispatches
+// of one task.
 type Dispatch struct {
 	Task    model.Task `cbor:"1,keyasint" json:"task"`
 	Term    uint64     `cbor:"2,keyasint" json:"term"`
 	Attempt uint32     `cbor:"3,keyasint" json:"attempt"`
 }
 
-// TaskPhase is what a worker holder knows of a task.
+// TaskPhase is what a lease holder knows of a task.
 type TaskPhase uint8
 
 // Task phases.
 const (
-	PhaseUnknown  TaskPhase = iota // never seen on the covered workers
-	PhaseRejected                  // not started and never will be by this dispatch
+	PhaseUnknown  TaskPhase = iota // not seen on the covered workers
+	PhaseRejected                  // not started, and this dispatch will never start it
 	PhaseStarting
 	PhaseRunning
 	PhaseFinished
 )
 
-// TaskState tells a task's coordinator what became of it.
+// TaskState reports the state of a task to its coordinator.
 type TaskState struct {
 	Task    model.TaskID   `cbor:"1,keyasint" json:"task"`
 	Term    uint64         `cbor:"2,keyasint,omitempty" json:"term,omitempty"`
@@ -107,8 +110,7 @@
 }
 
 // Locate asks every instance what it knows of tasks. From then on the receiver
-// refuses dispatches of them at or below (Term, Attempt). The answer is a
-// Located.
+// refuses dispatches of them at or below (Term, Attempt). The answer is a Located.
 type Locate struct {
 	ID    uint64       `cbor:"1,keyasint" json:"id"`
 	Shard model.Shard  `cbor:"2,keyasint" json:"shard"`
@@ -116,17 +118,17 @@
 	Tasks []LocateTask `cbor:"4,keyasint" json:"tasks"`
 }
 
-// LocateTask names a task to locate. Age is how long ago its first start may
-// have been.
+// LocateTask identifies a task to locate. Age is the time since the earliest
+// possible first start.
 type LocateTask struct {
 	Task    model.TaskID  `cbor:"1,keyasint" json:"task"`
 	Attempt uint32        `cbor:"2,keyasint" json:"attempt"`
 	Age     time.Duration `cbor:"3,keyasint" json:"age"`
 }
 
-// Located answers a Locate: the tasks that were seen, and the workers for which
-// "not seen" is certain. Young are workers among them that restarted within the
-// asked age, so that they may have run a task and forgotten it.
+// Located answers a Locate with the tasks that were seen, and the workers for which
+// it is certain that no others were. Young lists the covered workers that restarted
+// within the age in question: they may have run a task and lost their record of it.
 type Located struct {
 	ID      uint64           `cbor:"1,keyasint" json:"id"`
 	Seen    []TaskState      `cbor:"2,keyasint,omitempty" json:"seen,omitempty"`
@@ -134,13 +136,13 @@
 	Young   []model.WorkerID `cbor:"4,keyasint,omitempty" json:"young,omitempty"`
 }
 
-// CancelTask asks a worker holder to stop a task.
+// CancelTask asks a lease holder to stop a task.
 type CancelTask struct {
 	Task model.TaskID      `cbor:"1,keyasint" json:"task"`
 	Mode platform.StopMode `cbor:"2,keyasint" json:"mode"`
 }
 
-// FetchLog asks a peer for log entries from an offset on.
+// FetchLog requests log entries from a peer, starting at the offset From.
 type FetchLog struct {
 	From uint64 `cbor:"1,keyasint" json:"from"`
 }
@@ -150,8 +152,8 @@
 	Entries []platform.Entry `cbor:"1,keyasint" json:"entries"`
 }
 
-// KeysWithdrawn tells of keys that a change withdrew. The receiver refuses them
-// until it has folded the log up to their offsets.
+// KeysWithdrawn reports keys that a change withdrew. The receiver refuses them until
+// it has applied the log up to their offsets.
 type KeysWithdrawn struct {
 	Keys []WithdrawnKey `cbor:"1,keyasint" json:"keys"`
 }
@@ -163,7 +165,7 @@
 	Offset uint64 `cbor:"2,keyasint" json:"offset"`
 }
 
-// FetchSnapshot asks a peer for a snapshot of its state. The answer is a
+// FetchSnapshot requests a snapshot of the state from a peer. The answer is a
 // SnapshotState.
 type FetchSnapshot struct{}
 
@@ -172,7 +174,7 @@
 	Snapshot Snapshot `cbor:"1,keyasint" json:"snapshot"`
 }
 
-// Memory hands the memory of requests of some shards to the instance that is to
+// Memory passes the remembered requests of some shards to the instance that is to
 // own them next.
 type Memory struct {
 	ID      uint64          `cbor:"1,keyasint" json:"id"`
@@ -180,17 +182,18 @@
 	Entries []RequestMemory `cbor:"3,keyasint,omitempty" json:"entries,omitempty"`
 }
 
-// ShardMemory tells how far back the memory of a shard is complete: for tickets
-// from term ExactFrom on. PastAge is how long ago memory was lost before that, 0
-// when it never was.
+// ShardMemory describes for which tickets the memory of a shard is complete: those
+// issued in term ExactFrom or later. PastAge is the time since memory was lost
+// before that, 0 when it never was.
 type ShardMemory struct {
 	ShardTerm ShardTerm     `cbor:"1,keyasint" json:"shard_term"`
 	ExactFrom uint64        `cbor:"2,keyasint" json:"exact_from"`
 	PastAge   time.Duration `cbor:"3,keyasint,omitempty" json:"past_age,omitempty"`
 }
 
-// RequestMemory is one request as its coordinator remembers it. Ages are measured
-// back from the moment of sending.
+// RequestMemory is a request as its coordinator remembers it. Ages are measured back
+// from the time of sending. Holder is the lease holder to which the task was last
+// dispatched.
 type RequestMemory struct {
 	ID          string         `cbor:"1,keyasint" json:"id"`
 	Task        model.Task     `cbor:"2,keyasint" json:"task"`
@@ -208,7 +211,8 @@
 	Answer      model.Answer   `cbor:"14,keyasint" json:"answer"`
 }
 
-// MemoryKept confirms that a Memory is held until its handover shows in the log.
+// MemoryKept confirms that a Memory was received and is kept until the log contains
+// its handover.
 type MemoryKept struct {
 	ID uint64 `cbor:"1,keyasint" json:"id"`
 }
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -1,5 +1,5 @@
-// Package wire defines what the system's own processes write to the log and send
-// to each other, and its encoding.
+// Package wire defines the log records and the messages between the scheduler's own
+// processes, and their encoding.
 package wire
 
 import (
@@ -9,27 +9,26 @@
 // Record is one record in the log. A log entry holds a batch of records.
 type Record interface{ recordKind() kind }
 
-// ShardTerm names a shard at a term. In a claim it is the term that the claim
-// replaces.
+// ShardTerm is a shard at a term. In a claim it is the term that the claim replaces.
 type ShardTerm struct {
 	Shard model.Shard `cbor:"1,keyasint" json:"shard"`
 	Term  uint64      `cbor:"2,keyasint" json:"term"`
 }
 
-// Owner is an instance in one of its lives.
+// Owner is an instance in one of its incarnations.
 type Owner struct {
 	Instance    model.InstanceID  `cbor:"1,keyasint" json:"instance"`
 	Incarnation model.Incarnation `cbor:"2,keyasint" json:"incarnation"`
 }
 
-// Claim takes every listed shard that is still at its listed term. The new term
-// is the offset of the entry that holds the claim.
+// Claim makes Owner the owner of every listed shard that is still at its listed
+// term. The new term is the offset of the entry that contains the claim.
 type Claim struct {
 	Owner  Owner       `cbor:"1,keyasint" json:"owner"`
 	Shards []ShardTerm `cbor:"2,keyasint" json:"shards"`
 }
 
-// Handover passes shards from their owner to another instance, which has already
+// Handover transfers shards from their owner to another instance, which has already
 // received the owner's memory of requests.
 type Handover struct {
 	From   Owner       `cbor:"1,keyasint" json:"from"`
@@ -42,12 +41,13 @@
 	Change model.Change `cbor:"1,keyasint" json:"change"`
 }
 
-// JobAccepted accepts a job for later.
+// JobAccepted accepts a job for later execution.
 type JobAccepted struct {
 	Job model.Job `cbor:"1,keyasint" json:"job"`
 }
 
-// JobProgress lists tasks of a job that ended since the last such record.
+// JobProgress lists tasks of a job, by index, that ended since the previous such
+// record.
 type JobProgress struct {
 	Team   model.TeamID `cbor:"1,keyasint" json:"team"`
 	Job    model.JobID  `cbor:"2,keyasint" json:"job"`
@@ -61,8 +61,8 @@
 	Job  model.JobID  `cbor:"2,keyasint" json:"job"`
 }
 
-// Snapshot is the state of the services after the entry at Applied. It stands in
-// the log so that a reader can begin there, and is no change of the state.
+// Snapshot is the state of the services after the entry at Applied. A reader can
+// start from it; the record does not change the state itself.
 type Snapshot struct {
 	Applied uint64         `cbor:"1,keyasint" json:"applied"`
 	Parts   []SnapshotPart `cbor:"2,keyasint" json:"parts"`
