--- a/internal/service/limits/escrow.go
+++ b/internal/service/limits/escrow.go
@@ -99,11 +99,11 @@
 		case target > m.bound && free > 0:
 			raise := min(target-m.bound, free)
 			free -= raise
-			s.grant(team, e, m.owner, m.bound+raise)
+			s.sendGrant(team, e, m.owner, m.bound+raise)
 		case target < m.bound-slack:
-			s.grant(team, e, m.owner, target)
+			s.sendGrant(team, e, m.owner, target)
 		case e.unconfirmed(m.owner, s.env.Now()):
-			s.grant(team, e, m.owner, e.grants[m.owner].last)
+			s.sendGrant(team, e, m.owner, e.grants[m.owner].last)
 		}
 	}
 }
@@ -201,8 +201,9 @@
 	return max(b, g.peak)
 }
 
-// grant sends a ceiling to a member, or applies it directly when the member is this instance.
-func (s *Service) grant(team model.TeamID, e *escrow, to wire.Owner, ceiling int64) {
+// sendGrant sends a ceiling to a member, or applies it directly when the member is
+// this instance.
+func (s *Service) sendGrant(team model.TeamID, e *escrow, to wire.Owner, ceiling int64) {
 	g := e.grants[to]
 	g = grant{seq: g.seq + 1, peak: max(g.peak, ceiling), last: ceiling, sentAt: s.env.Now()}
 	e.grants[to] = g
@@ -211,7 +212,7 @@
 	}
 	if to == s.env.Owner() {
 		msg.Beat = currentBeat
-		s.apply(msg)
+		s.applyGrant(msg)
 		return
 	}
 	if m, ok := s.members.Member(to.Instance); ok {
--- a/internal/service/limits/limits.go
+++ b/internal/service/limits/limits.go
@@ -79,15 +79,15 @@
 	members   Members
 	demand    Demand
 
-	ceilings      map[model.TeamID]ceiling
-	reductions    map[model.TeamID][]reduction
-	beat          uint64                 // sequence number of the last heartbeat sent
-	blocked       map[model.TeamID]int64 // starts refused since the last heartbeat
-	blockedBefore map[model.TeamID]int64 // starts refused between the two heartbeats before it
-	gangDemands   map[model.TeamID]gangDemand
-	escrows       map[model.TeamID]*escrow
-	readyAt       [model.Shards]time.Duration // when the new owner of a shard may start to grant
-	nextPlan      time.Duration
+	ceilings          map[model.TeamID]ceiling
+	reductions        map[model.TeamID][]reduction
+	beat              uint64                 // sequence number of the last heartbeat sent
+	refusedStarts     map[model.TeamID]int64 // starts refused since the last heartbeat
+	prevRefusedStarts map[model.TeamID]int64 // starts refused between the two heartbeats before it
+	gangDemands       map[model.TeamID]gangDemand
+	escrows           map[model.TeamID]*escrow
+	readyAt           [model.Shards]time.Duration // when the new owner of a shard may start to grant
+	nextPlan          time.Duration
 }
 
 // ceiling is this instance's part of a team's limit.
@@ -111,12 +111,12 @@
 // New returns the limits service.
 func New(env *event.Env) *Service {
 	return &Service{
-		env:         env,
-		ceilings:    make(map[model.TeamID]ceiling),
-		reductions:  make(map[model.TeamID][]reduction),
-		blocked:     make(map[model.TeamID]int64),
-		gangDemands: make(map[model.TeamID]gangDemand),
-		escrows:     make(map[model.TeamID]*escrow),
+		env:           env,
+		ceilings:      make(map[model.TeamID]ceiling),
+		reductions:    make(map[model.TeamID][]reduction),
+		refusedStarts: make(map[model.TeamID]int64),
+		gangDemands:   make(map[model.TeamID]gangDemand),
+		escrows:       make(map[model.TeamID]*escrow),
 	}
 }
 
@@ -149,18 +149,18 @@
 	if s.config.Fresh() && s.ledger.Running(team) < s.currentCeiling(team).max {
 		return true
 	}
-	s.blocked[team]++
+	s.refusedStarts[team]++
 	return false
 }
 
 // OnMessage applies grants.
 func (s *Service) OnMessage(_ wire.Owner, m wire.Message) {
 	if g, ok := m.(wire.Grant); ok {
-		s.apply(g)
+		s.applyGrant(g)
 	}
 }
 
-func (s *Service) apply(g wire.Grant) {
+func (s *Service) applyGrant(g wire.Grant) {
 	if g.To != s.env.Self.Incarnation {
 		return
 	}
@@ -177,7 +177,7 @@
 func (s *Service) FillBeat(b *wire.Heartbeat) {
 	s.beat = b.Seq
 	b.Teams = s.loads()
-	s.blockedBefore, s.blocked = s.blocked, make(map[model.TeamID]int64)
+	s.prevRefusedStarts, s.refusedStarts = s.refusedStarts, make(map[model.TeamID]int64)
 }
 
 func (s *Service) loads() []wire.TeamLoad {
@@ -188,7 +188,7 @@
 	for t := range s.gangDemands {
 		teams = append(teams, t)
 	}
-	for t := range s.blocked {
+	for t := range s.refusedStarts {
 		teams = append(teams, t)
 	}
 	slices.Sort(teams)
@@ -206,7 +206,7 @@
 	return wire.TeamLoad{
 		Team: team, Running: running, Waiting: waiting, Usage: s.ledger.Usage(team),
 		Ceiling: c.max, GrantTerm: c.term, GrantSeq: c.seq,
-		Wanted: running + max(waiting+max(s.blocked[team], s.blockedBefore[team]), s.gangDemands[team].count),
+		Wanted: running + max(waiting+max(s.refusedStarts[team], s.prevRefusedStarts[team]), s.gangDemands[team].count),
 	}
 }
 
