--- a/internal/service/jobs/jobs.go
+++ b/internal/service/jobs/jobs.go
@@ -37,14 +37,14 @@
 	ownership Ownership
 	tasks     Tasks
 
-	jobs    map[key]*job
-	order   []key // keys of jobs in order of acceptance
-	waiting map[key]*submission
-	appends map[uint64][]key // append id to the jobs submitted or canceled with it
-	ended   map[key]*endedTasks
-	flushAt time.Duration
-	flushID uint64
-	flushed map[key]*endedTasks // in the progress records of the append in flight
+	jobs        map[key]*job
+	order       []key // keys of jobs in order of acceptance
+	submissions map[key]*submission
+	appends     map[uint64][]key // append id to the jobs submitted or canceled with it
+	ended       map[key]*endedTasks
+	flushAt     time.Duration
+	flushID     uint64
+	flushed     map[key]*endedTasks // in the progress records of the append in flight
 }
 
 type key struct {
@@ -78,11 +78,11 @@
 // New returns the jobs service.
 func New(env *event.Env) *Service {
 	return &Service{
-		env:     env,
-		jobs:    make(map[key]*job),
-		waiting: make(map[key]*submission),
-		appends: make(map[uint64][]key),
-		ended:   make(map[key]*endedTasks),
+		env:         env,
+		jobs:        make(map[key]*job),
+		submissions: make(map[key]*submission),
+		appends:     make(map[uint64][]key),
+		ended:       make(map[key]*endedTasks),
 	}
 }
 
@@ -107,25 +107,25 @@
 func (s *Service) Submit(c requests.Caller, spec model.Job) {
 	k := keyOf(spec)
 	if j, ok := s.jobs[k]; ok {
-		s.tasks.Reply(c, s.accepted(k, j, spec))
+		s.tasks.Reply(c, s.submissionAnswer(k, j, spec))
 		return
 	}
-	w, ok := s.waiting[k]
+	w, ok := s.submissions[k]
 	if !ok {
 		w = &submission{deadline: s.env.Now() + submitTimeout}
-		s.waiting[k] = w
+		s.submissions[k] = w
 		id := s.env.Append(wire.JobAccepted{Job: spec})
 		s.appends[id] = append(s.appends[id], k)
 	}
 	w.callers = append(w.callers, c)
 }
 
-// accepted returns the answer to the submission of a job that is in the log.
-func (s *Service) accepted(k key, j *job, spec model.Job) model.Answer {
+// submissionAnswer returns the answer to the submission of a job that is in the log.
+func (s *Service) submissionAnswer(k key, j *job, spec model.Job) model.Answer {
 	if j.spec.Count != spec.Count || string(j.spec.Template.Payload) != string(spec.Template.Payload) {
 		return model.Refusal(string(k.id), verdict.Refuse(verdict.CodeConflict, "the id was used for another job"))
 	}
-	return s.state(k, j)
+	return s.statusAnswer(k, j)
 }
 
 // OnRecord applies the records of jobs.
@@ -151,10 +151,10 @@
 			s.addTasks(j, false)
 		}
 	}
-	if w, ok := s.waiting[k]; ok {
-		delete(s.waiting, k)
+	if w, ok := s.submissions[k]; ok {
+		delete(s.submissions, k)
 		for _, c := range w.callers {
-			s.tasks.Reply(c, s.accepted(k, j, j.spec))
+			s.tasks.Reply(c, s.submissionAnswer(k, j, j.spec))
 		}
 	}
 }
@@ -205,10 +205,10 @@
 		return
 	}
 	j.canceled = true
-	if w, waits := s.waiting[k]; waits {
-		delete(s.waiting, k)
+	if w, waits := s.submissions[k]; waits {
+		delete(s.submissions, k)
 		for _, c := range w.callers {
-			s.tasks.Reply(c, s.state(k, j))
+			s.tasks.Reply(c, s.statusAnswer(k, j))
 		}
 	}
 	if _, mine := s.ownership.Mine(k.shard()); mine {
@@ -243,19 +243,19 @@
 }
 
 func (s *Service) refuse(k key, e *verdict.Error) {
-	w, ok := s.waiting[k]
+	w, ok := s.submissions[k]
 	if !ok {
 		return
 	}
-	delete(s.waiting, k)
+	delete(s.submissions, k)
 	for _, c := range w.callers {
 		s.tasks.Reply(c, model.Refusal(string(k.id), e))
 	}
 }
 
 func (s *Service) expireSubmissions(now time.Duration) {
-	for _, k := range sortedKeys(s.waiting) {
-		if now >= s.waiting[k].deadline {
+	for _, k := range sortedKeys(s.submissions) {
+		if now >= s.submissions[k].deadline {
 			e := verdict.Refuse(verdict.CodeInDoubt, "the job may be in the log; submit it again with the same id").After(retryAfter)
 			e.Verdict = verdict.MayHaveRun
 			s.refuse(k, e)
@@ -283,13 +283,13 @@
 		return false
 	}
 	if j.canceled || j.endedAt > 0 {
-		s.tasks.Reply(c, s.state(k, j))
+		s.tasks.Reply(c, s.statusAnswer(k, j))
 		return true
 	}
-	w, waits := s.waiting[k]
+	w, waits := s.submissions[k]
 	if !waits {
 		w = &submission{deadline: s.env.Now() + submitTimeout}
-		s.waiting[k] = w
+		s.submissions[k] = w
 		appendID := s.env.Append(wire.JobCanceled{Team: team, Job: id})
 		s.appends[appendID] = append(s.appends[appendID], k)
 	}
--- a/internal/service/jobs/snapshot.go
+++ b/internal/service/jobs/snapshot.go
@@ -104,17 +104,17 @@
 	if entry.Canceled {
 		s.cancel(k)
 	}
-	s.settleWaiting(k, j)
+	s.answerSubmissions(k, j)
 }
 
-// settleWaiting answers callers whose job is in the restored state.
-func (s *Service) settleWaiting(k key, j *job) {
-	w, ok := s.waiting[k]
+// answerSubmissions answers callers whose job is in the restored state.
+func (s *Service) answerSubmissions(k key, j *job) {
+	w, ok := s.submissions[k]
 	if !ok {
 		return
 	}
-	delete(s.waiting, k)
+	delete(s.submissions, k)
 	for _, c := range w.callers {
-		s.tasks.Reply(c, s.accepted(k, j, j.spec))
+		s.tasks.Reply(c, s.submissionAnswer(k, j, j.spec))
 	}
 }
--- a/internal/service/jobs/status.go
+++ b/internal/service/jobs/status.go
@@ -27,15 +27,15 @@
 	if !ok {
 		return model.Answer{}, false
 	}
-	a := s.state(k, j)
+	a := s.statusAnswer(k, j)
 	if why {
-		a.Body = document(s.document(j, true))
+		a.Body = encodeDocument(s.document(j, true))
 	}
 	return a, true
 }
 
-func (s *Service) state(k key, j *job) model.Answer {
-	a := model.Answer{ID: string(k.id), Verdict: verdict.Pending, Body: document(s.document(j, false))}
+func (s *Service) statusAnswer(k key, j *job) model.Answer {
+	a := model.Answer{ID: string(k.id), Verdict: verdict.Pending, Body: encodeDocument(s.document(j, false))}
 	switch {
 	case j.endedAt == 0:
 	case j.canceled:
@@ -63,7 +63,7 @@
 	return d
 }
 
-func document(d Document) []byte {
+func encodeDocument(d Document) []byte {
 	body, err := json.Marshal(d)
 	if err != nil {
 		return nil
