--- a/internal/service/handover/handover.go
+++ b/internal/service/handover/handover.go
@@ -50,8 +50,8 @@
 	memory    Memory
 
 	current        *transfer
-	serial         uint64
-	nextAt         time.Duration
+	lastTransferID uint64
+	nextTransferAt time.Duration
 	eligible       []wire.Owner
 	eligibleSince  time.Duration // when the eligible members last changed
 	drainStartedAt time.Duration // when this instance started to leave, 0 before
@@ -121,12 +121,12 @@
 		s.checkDeadline(now)
 		return
 	}
-	if now < s.nextAt || !s.ownership.CaughtUp() {
+	if now < s.nextTransferAt || !s.ownership.CaughtUp() {
 		return
 	}
-	to, shards := s.pick(now)
+	to, shards := s.nextTransfer(now)
 	if len(shards) == 0 {
-		s.nextAt = now + idleInterval
+		s.nextTransferAt = now + idleInterval
 		return
 	}
 	s.send(to, shards)
@@ -142,9 +142,9 @@
 	}
 }
 
-// pick returns the shards to hand over next and their new owner: all shards when
+// nextTransfer returns the shards to hand over next and their new owner: all shards when
 // this instance is leaving, otherwise those whose target has become another member.
-func (s *Service) pick(now time.Duration) (to wire.Owner, shards []wire.ShardTerm) {
+func (s *Service) nextTransfer(now time.Duration) (to wire.Owner, shards []wire.ShardTerm) {
 	stable := now-s.eligibleSince >= stableWindow && now >= startupDelay
 	if !s.members.Leaving() && !stable {
 		return to, nil
@@ -169,11 +169,11 @@
 }
 
 func (s *Service) send(to wire.Owner, shards []wire.ShardTerm) {
-	s.serial++
-	s.current = &transfer{id: s.serial, to: to, shards: shards, deadline: s.env.Now() + sendTimeout}
+	s.lastTransferID++
+	s.current = &transfer{id: s.lastTransferID, to: to, shards: shards, deadline: s.env.Now() + sendTimeout}
 	memory, entries := s.memory.Export(shards)
 	s.note("handover-send", fmt.Sprintf("%d shards, %d requests to %s", len(shards), len(entries), to.Instance))
-	s.env.Send(to.Instance, wire.Memory{ID: s.serial, Shards: memory, Entries: entries})
+	s.env.Send(to.Instance, wire.Memory{ID: s.lastTransferID, Shards: memory, Entries: entries})
 }
 
 // OnMessage handles memory sent by owners and confirmations from next owners.
@@ -257,7 +257,7 @@
 // endTransfer unfreezes the shards and schedules the next transfer.
 func (s *Service) endTransfer() {
 	s.current = nil
-	s.nextAt = s.env.Now() + transferInterval
+	s.nextTransferAt = s.env.Now() + transferInterval
 }
 
 // Settled reports whether nothing remains to be handed over: no shard is owned, no
--- a/internal/service/membership/membership.go
+++ b/internal/service/membership/membership.go
@@ -80,25 +80,25 @@
 }
 
 func (s *Service) onHeartbeat(from wire.Owner, beat wire.Heartbeat) {
-	known, ok := s.members[from.Instance]
-	if ok && from.Incarnation < known.Owner.Incarnation {
+	member, ok := s.members[from.Instance]
+	if ok && from.Incarnation < member.Owner.Incarnation {
 		return
 	}
-	if ok && from.Incarnation > known.Owner.Incarnation {
-		s.declareDead(known)
+	if ok && from.Incarnation > member.Owner.Incarnation {
+		s.declareDead(member)
 		ok = false
 	}
 	if !ok {
-		known = &Member{Owner: from}
-		s.members[from.Instance] = known
+		member = &Member{Owner: from}
+		s.members[from.Instance] = member
 		s.env.Note(event.Note{Kind: "member-up", Subject: string(from.Instance)})
 	}
-	known.LastHeartbeatAt = s.env.Now()
-	known.dead = false
-	if beat.Seq > known.Beat.Seq {
-		known.Beat = beat
+	member.LastHeartbeatAt = s.env.Now()
+	member.dead = false
+	if beat.Seq > member.Beat.Seq {
+		member.Beat = beat
 	}
-	if known.Coverage.Version < known.Beat.Coverage {
+	if member.Coverage.Version < member.Beat.Coverage {
 		s.env.Send(from.Instance, wire.FetchCoverage{})
 	}
 }
--- a/internal/service/ownership/ownership.go
+++ b/internal/service/ownership/ownership.go
@@ -141,9 +141,10 @@
 	s.env.Note(event.Note{Kind: "claim", Subject: string(s.env.Self.ID), Detail: fmt.Sprintf("%d shards", len(claimable))})
 }
 
-// mayClaim reports whether this instance knows enough to claim: it has received
-// heartbeats for at least Timing.DeadAfter, has applied the log to its end, can
-// reach a majority of the listed instances and has no claim in flight.
+// mayClaim reports whether this instance knows enough to claim: it has run for at
+// least Timing.DeadAfter, so that it has heartbeats of the other instances; it has
+// applied the log to its end, can reach a majority of the listed instances and has
+// no claim in flight.
 func (s *Service) mayClaim(now time.Duration) bool {
 	if s.claimID != 0 && now-s.claimAt < claimTimeout {
 		return false
