--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -34,7 +34,7 @@
 	startTime       time.Time // time of day when now is 0, zero if unknown
 	skew            map[model.InstanceID]time.Duration
 	cores           map[model.InstanceID]*Core
-	order           []platform.Instance
+	instances       []platform.Instance
 	logUnreachable  map[model.InstanceID]bool
 	log             []platform.Entry
 	oldest          uint64
@@ -43,7 +43,7 @@
 	dropped         func(m wire.Message) bool
 	snapshotOffsets []uint64 // offsets of the entries that contain a snapshot
 	workers         []model.Worker
-	renewed         map[model.InstanceID][]renewal
+	pendingRenewals map[model.InstanceID][]renewal
 }
 
 // renewal is a granted worker lease that is to be delivered to the instance that
@@ -57,7 +57,7 @@
 	c := &cell{
 		t: t, oldest: firstOffset, cores: map[model.InstanceID]*Core{}, logUnreachable: map[model.InstanceID]bool{},
 		answers: map[uint64]model.Answer{}, sent: map[string]int{},
-		renewed: map[model.InstanceID][]renewal{},
+		pendingRenewals: map[model.InstanceID][]renewal{},
 	}
 	for _, n := range names {
 		c.start(n)
@@ -70,9 +70,9 @@
 	core, err := New(Options{Self: self, Timing: testTiming, Seed: 1})
 	require.NoError(c.t, err)
 	c.cores[name] = core
-	c.order = append(c.order, self)
-	for _, i := range c.order {
-		c.step(i.ID, event.Listed{Listing: platform.Listing{Instances: c.order}})
+	c.instances = append(c.instances, self)
+	for _, i := range c.instances {
+		c.step(i.ID, event.Listed{Listing: platform.Listing{Instances: c.instances}})
 	}
 }
 
@@ -100,25 +100,25 @@
 			ID: model.WorkerID(fmt.Sprintf("w%d", i)), Capacity: model.Resources{Slots: 1},
 		})
 	}
-	for _, i := range c.order {
-		c.step(i.ID, event.Listed{Listing: platform.Listing{Instances: c.order, Workers: c.workers}})
+	for _, i := range c.instances {
+		c.step(i.ID, event.Listed{Listing: platform.Listing{Instances: c.instances, Workers: c.workers}})
 	}
 }
 
 // renew grants a lease on an idle worker once the requested wait has passed.
 func (c *cell) renew(at model.InstanceID, a event.Renew) {
-	c.renewed[at] = append(c.renewed[at], renewal{due: c.now + a.Request.Wait, done: event.RenewDone{
+	c.pendingRenewals[at] = append(c.pendingRenewals[at], renewal{due: c.now + a.Request.Wait, done: event.RenewDone{
 		Worker: a.Worker.ID, Lease: a.Request.Lease, Full: a.Request.Full, SentAt: c.now,
 		Reply: platform.RenewReply{Granted: true, Incarnation: 1},
 	}})
 }
 
 func (c *cell) deliverRenewals(at model.InstanceID) {
-	pending := c.renewed[at]
-	c.renewed[at] = nil
+	pending := c.pendingRenewals[at]
+	c.pendingRenewals[at] = nil
 	for _, r := range pending {
 		if r.due > c.now {
-			c.renewed[at] = append(c.renewed[at], r)
+			c.pendingRenewals[at] = append(c.pendingRenewals[at], r)
 			continue
 		}
 		c.step(at, r.done)
@@ -161,7 +161,7 @@
 func (c *cell) run(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		c.now += stepTime
-		for _, i := range c.order {
+		for _, i := range c.instances {
 			if !c.logUnreachable[i.ID] {
 				c.read(i.ID)
 			}
--- a/internal/core/hours_test.go
+++ b/internal/core/hours_test.go
@@ -66,7 +66,7 @@
 // mayStart returns the number of instances that may start a task of the team.
 func (c *cell) mayStart(team model.TeamID) int {
 	n := 0
-	for _, i := range c.order {
+	for _, i := range c.instances {
 		s, err := kernel.Find[*limits.Service](c.cores[i.ID].kernel, service.Limits)
 		require.NoError(c.t, err)
 		if s.MayStart(team) {
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -40,16 +40,16 @@
 	}
 	for _, rec := range records {
 		snap, ok := rec.(wire.Snapshot)
-		if ok && snap.Applied+1 >= r.buffered[0].Offset && r.adopt(snap) {
+		if ok && snap.Applied+1 >= r.buffered[0].Offset && r.installSnapshot(snap) {
 			return true
 		}
 	}
 	return false
 }
 
-// adopt replaces the state by a snapshot of a later one and applies the buffered
-// entries after it. It reports whether it did.
-func (r *logReader) adopt(s wire.Snapshot) bool {
+// installSnapshot replaces the state by a snapshot of a later one and applies the
+// buffered entries after it. It reports whether it did.
+func (r *logReader) installSnapshot(s wire.Snapshot) bool {
 	if s.Applied < r.next {
 		return false
 	}
@@ -70,7 +70,7 @@
 // onSnapshotState adopts a peer's state. When that fails, the next request is
 // delayed.
 func (r *logReader) onSnapshotState(m wire.SnapshotState) {
-	if !r.adopt(m.Snapshot) {
+	if !r.installSnapshot(m.Snapshot) {
 		r.nextFetch = r.env.Now() + snapshotInterval
 	}
 }
--- a/internal/core/restore_test.go
+++ b/internal/core/restore_test.go
@@ -79,7 +79,7 @@
 		if !usable {
 			require.Equal(rt, stop+firstOffset, c.cores["late"].NextOffset(), "no entry is applied without a usable snapshot")
 			require.False(rt, c.config("late").Fresh())
-			c.cores["late"].reader.adopt(full.reader.snapshots.Take())
+			c.cores["late"].reader.installSnapshot(full.reader.snapshots.Take())
 		}
 		require.Equal(rt, full.NextOffset(), c.cores["late"].NextOffset())
 		require.Equal(rt, c.table("full"), c.table("late"))
--- a/internal/event/env.go
+++ b/internal/event/env.go
@@ -88,10 +88,10 @@
 	e.actions = nil
 }
 
-// WokeAt returns when the last pause of this process ended, or when it started.
+// ResumedAt returns when the last pause of this process ended, or when it started.
 // Input that arrives just after that may have been queued during the pause and be
 // outdated.
-func (e *Env) WokeAt() time.Duration { return e.resumedAt }
+func (e *Env) ResumedAt() time.Duration { return e.resumedAt }
 
 // Take ends the step and returns its actions.
 func (e *Env) Take() []Action {
--- a/internal/service/config/config.go
+++ b/internal/service/config/config.go
@@ -129,7 +129,7 @@
 	}
 	reachable, reached := false, false
 	for _, p := range s.peers {
-		if now-p.receivedAt > limit || p.receivedAt < s.env.WokeAt()+resumeDelay {
+		if now-p.receivedAt > limit || p.receivedAt < s.env.ResumedAt()+resumeDelay {
 			continue
 		}
 		if p.applied > s.applied {
@@ -150,7 +150,7 @@
 	result := s.state.Apply(offset, c.Change)
 	s.announceWithdrawn(result.Withdrawn)
 	if p, waiting := s.pending[c.Change.ID]; waiting {
-		s.settle(c.Change.ID, p, answerOf(c.Change.ID, result))
+		s.answerChange(c.Change.ID, p, answerOf(c.Change.ID, result))
 	}
 }
 
@@ -198,13 +198,13 @@
 	if !waiting || d.Verdict != verdict.NotRun {
 		return
 	}
-	s.settle(id, p, model.Refusal(id, verdict.Refuse(verdict.CodeUnavailable, "the log does not take changes now").After(retryAfter)))
+	s.answerChange(id, p, model.Refusal(id, verdict.Refuse(verdict.CodeUnavailable, "the log does not take changes now").After(retryAfter)))
 }
 
 // OnTick answers changes that were not read back before their deadline.
 func (s *Service) OnTick() {
 	for _, id := range s.overdue() {
-		s.settle(id, s.pending[id], model.Answer{
+		s.answerChange(id, s.pending[id], model.Answer{
 			ID: id, Verdict: verdict.MayHaveRun, Code: verdict.CodeInDoubt,
 			Message: "the change may be in the log; apply it again with the same id", RetryAfter: retryAfter,
 		})
@@ -222,7 +222,7 @@
 	return ids
 }
 
-func (s *Service) settle(id string, p *change, a model.Answer) {
+func (s *Service) answerChange(id string, p *change, a model.Answer) {
 	delete(s.pending, id)
 	for _, h := range p.handles {
 		s.respond(h, a)
--- a/internal/service/config/snapshot.go
+++ b/internal/service/config/snapshot.go
@@ -25,7 +25,7 @@
 	s.state.Adopt(other)
 	for _, id := range slices.Sorted(maps.Keys(s.pending)) {
 		if r, ok := s.state.Settled(id); ok {
-			s.settle(id, s.pending[id], answerOf(id, r))
+			s.answerChange(id, s.pending[id], answerOf(id, r))
 		}
 	}
 	return nil
