--- a/internal/service/config/config.go
+++ b/internal/service/config/config.go
@@ -33,7 +33,7 @@
 	logAt   time.Duration // when the last read was sent that found the log applied to its end
 	peers   map[model.InstanceID]peerView
 	pending map[string]*change
-	appends map[uint64]string // append id to change id
+	appends map[uint64]string // append id to id of the change
 	serial  uint64
 	// keyReferences is set when callers' keys are references from a trace.
 	keyReferences   bool
--- a/internal/service/handover/handover.go
+++ b/internal/service/handover/handover.go
@@ -37,8 +37,11 @@
 
 // Memory exports and imports what an owner remembers of requests.
 type Memory interface {
+	// Remembered returns the number of requests that are remembered for a shard.
 	Remembered(model.Shard) int
+	// Export returns the memory of the shards and their requests.
 	Export(shards []wire.ShardTerm) ([]wire.ShardMemory, []wire.RequestMemory)
+	// Import keeps a received memory until the log contains its handover.
 	Import(m wire.Memory)
 }
 
--- a/internal/service/jobs/jobs.go
+++ b/internal/service/jobs/jobs.go
@@ -23,11 +23,18 @@
 
 // Tasks runs the tasks of jobs.
 type Tasks interface {
+	// AddTask queues a task of an accepted job. With check set, a previous owner of the
+	// shard may have started it.
 	AddTask(job model.Job, index int, check bool)
+	// CancelTask cancels a task of a job.
 	CancelTask(id model.TaskID)
+	// Forget removes an ended task.
 	Forget(id model.TaskID)
+	// Reply sends a caller its answer.
 	Reply(c requests.Caller, a model.Answer)
+	// Why returns, as JSON, why the first waiting task of ids waits.
 	Why(ids []model.TaskID) []byte
+	// Phases counts the tasks of ids that wait and those that run.
 	Phases(ids []model.TaskID) (waiting, running int)
 }
 
--- a/internal/service/limits/limits.go
+++ b/internal/service/limits/limits.go
@@ -43,10 +43,15 @@
 
 // Ledger provides the tasks and workers of this instance.
 type Ledger interface {
+	// Running returns the number of tasks of a team that run or start on this instance.
 	Running(model.TeamID) int64
+	// Usage returns the resources that the tasks of a team hold on this instance.
 	Usage(model.TeamID) model.Resources
+	// Teams returns the teams with tasks on this instance, sorted.
 	Teams() []model.TeamID
+	// Coverage returns the workers whose state this instance knows completely.
 	Coverage() wire.Coverage
+	// Roster returns every listed worker.
 	Roster() map[model.WorkerID]model.Worker
 }
 
