--- a/internal/service/config/snapshot.go
+++ b/internal/service/config/snapshot.go
@@ -14,8 +14,9 @@
 // Snapshot implements service.Snapshotter.
 func (s *Service) Snapshot() []byte { return s.state.Snapshot() }
 
-// Restore implements service.Snapshotter. A state that folded more stays. Changes
-// that the snapshot settles are answered.
+// Restore implements service.Snapshotter. A state that has applied more changes is
+// kept. Changes that the snapshot contains are answered. It returns an error when
+// data is malformed.
 func (s *Service) Restore(data []byte) error {
 	other, err := declare.Restore(data)
 	if err != nil {
@@ -24,7 +25,7 @@
 	s.state.Adopt(other)
 	for _, id := range slices.Sorted(maps.Keys(s.pending)) {
 		if r, ok := s.state.Settled(id); ok {
-			s.settle(id, s.pending[id], answerOf(id, r))
+			s.answerChange(id, s.pending[id], answerOf(id, r))
 		}
 	}
 	return nil
--- a/internal/service/jobs/jobs.go
+++ b/internal/service/jobs/jobs.go
@@ -1,6 +1,6 @@
-// Package jobs keeps the jobs accepted for later. A job is accepted once its
-// record is in the log; every instance folds the same jobs, and the owner of a
-// job's shard runs its tasks and records their ends.
+// Package jobs keeps the jobs that were accepted for later execution. A job is
+// accepted once its record is in the log. Every instance replays the same records;
+// the owner of a job's shard runs its tasks and records which of them ended.
 package jobs
 
 import (
@@ -16,18 +16,25 @@
 	"pollenbend/internal/wire"
 )
 
-// Ownership tells which shards are owned here.
+// Ownership provides the shards that this instance owns.
 type Ownership interface {
 	Mine(model.Shard) (term uint64, ok bool)
 }
 
 // Tasks runs the tasks of jobs.
 type Tasks interface {
+	// AddTask queues a task of an accepted job. With check set, a previous owner of the
+	// shard may have started it.
 	AddTask(job model.Job, index int, check bool)
+	// CancelTask cancels a task of a job.
 	CancelTask(id model.TaskID)
+	// Forget removes an ended task.
 	Forget(id model.TaskID)
+	// Reply sends a caller its answer.
 	Reply(c requests.Caller, a model.Answer)
+	// Why returns, as JSON, why the first waiting task of ids waits.
 	Why(ids []model.TaskID) []byte
+	// Phases counts the tasks of ids that wait and those that run.
 	Phases(ids []model.TaskID) (waiting, running int)
 }
 
@@ -37,14 +44,14 @@
 	ownership Ownership
 	tasks     Tasks
 
-	jobs    map[key]*job
-	order   []key // keys of jobs in the order accepted
-	waiting map[key]*submission
-	appends map[uint64][]key // append id to the submissions in it
-	ended   map[key]*ends
-	flushAt time.Duration
-	flushID uint64
-	flushed map[key]*ends // in the outstanding progress record
+	jobs        map[key]*job
+	order       []key // keys of jobs in order of acceptance
+	submissions map[key]*submission
+	appends     map[uint64][]key // append id to the jobs submitted or canceled with it
+	ended       map[key]*endedTasks
+	flushAt     time.Duration
+	flushID     uint64
+	flushed     map[key]*endedTasks // in the progress records of the append in flight
 }
 
 type key struct {
@@ -52,16 +59,17 @@
 	id   model.JobID
 }
 
-// job is the fold of one job's records.
+// job is the state of a job, built from its records.
 type job struct {
 	spec     model.Job
-	done     map[int]bool // index to success
+	done     map[int]bool // task index to success
 	failed   int
 	canceled bool
 	endedAt  time.Duration
 }
 
-// submission is a job whose record is not read back yet.
+// submission is a job whose acceptance or cancellation has not been read back from
+// the log yet.
 type submission struct {
 	callers  []requests.Caller
 	deadline time.Duration
@@ -77,18 +85,18 @@
 // New returns the jobs service.
 func New(env *event.Env) *Service {
 	return &Service{
-		env:     env,
-		jobs:    make(map[key]*job),
-		waiting: make(map[key]*submission),
-		appends: make(map[uint64][]key),
-		ended:   make(map[key]*ends),
+		env:         env,
+		jobs:        make(map[key]*job),
+		submissions: make(map[key]*submission),
+		appends:     make(map[uint64][]key),
+		ended:       make(map[key]*endedTasks),
 	}
 }
 
 // Name implements kernel.Service.
 func (s *Service) Name() string { return service.Jobs }
 
-// Bind finds the services that this one works with.
+// Bind looks up the services that this one uses. It returns an error when one is missing.
 func (s *Service) Bind(k *kernel.Kernel) (err error) {
 	if s.ownership, err = kernel.Find[Ownership](k, service.Ownership); err != nil {
 		return err
@@ -101,33 +109,33 @@
 
 func (k key) shard() model.Shard { return model.ShardOfRequest(k.team, string(k.id)) }
 
-// Submit appends a job's record. The caller hears that the job is accepted once
-// the record has been read back.
+// Submit appends a job's record. The caller gets the answer once the record has been
+// read back.
 func (s *Service) Submit(c requests.Caller, spec model.Job) {
 	k := keyOf(spec)
 	if j, ok := s.jobs[k]; ok {
-		s.tasks.Reply(c, s.accepted(k, j, spec))
+		s.tasks.Reply(c, s.submissionAnswer(k, j, spec))
 		return
 	}
-	w, ok := s.waiting[k]
+	w, ok := s.submissions[k]
 	if !ok {
 		w = &submission{deadline: s.env.Now() + submitTimeout}
-		s.waiting[k] = w
+		s.submissions[k] = w
 		id := s.env.Append(wire.JobAccepted{Job: spec})
 		s.appends[id] = append(s.appends[id], k)
 	}
 	w.callers = append(w.callers, c)
 }
 
-// accepted answers for a job that is in the log.
-func (s *Service) accepted(k key, j *job, spec model.Job) model.Answer {
+// submissionAnswer returns the answer to the submission of a job that is in the log.
+func (s *Service) submissionAnswer(k key, j *job, spec model.Job) model.Answer {
 	if j.spec.Count != spec.Count || string(j.spec.Template.Payload) != string(spec.Template.Payload) {
 		return model.Refusal(string(k.id), verdict.Refuse(verdict.CodeConflict, "the id was used for another job"))
 	}
-	return s.state(k, j)
+	return s.statusAnswer(k, j)
 }
 
-// OnRecord folds the records of jobs.
+// OnRecord applies the records of jobs.
 func (s *Service) OnRecord(_ uint64, r wire.Record) {
 	switch r := r.(type) {
 	case wire.JobAccepted:
@@ -147,19 +155,19 @@
 		s.jobs[k] = j
 		s.order = append(s.order, k)
 		if _, mine := s.ownership.Mine(k.shard()); mine {
-			s.run(j, false)
+			s.addTasks(j, false)
 		}
 	}
-	if w, ok := s.waiting[k]; ok {
-		delete(s.waiting, k)
+	if w, ok := s.submissions[k]; ok {
+		delete(s.submissions, k)
 		for _, c := range w.callers {
-			s.tasks.Reply(c, s.accepted(k, j, j.spec))
+			s.tasks.Reply(c, s.submissionAnswer(k, j, j.spec))
 		}
 	}
 }
 
-// run hands the tasks that have not ended to the coordinator.
-func (s *Service) run(j *job, check bool) {
+// addTasks passes the tasks that have not ended to the coordinator.
+func (s *Service) addTasks(j *job, check bool) {
 	for i := range j.spec.Count {
 		if _, ended := j.done[i]; !ended {
 			s.tasks.AddTask(j.spec, i, check)
@@ -173,17 +181,17 @@
 		return
 	}
 	for _, i := range r.Done {
-		s.end(j, i, true)
+		s.endTask(j, i, true)
 	}
 	for _, i := range r.Failed {
-		s.end(j, i, false)
+		s.endTask(j, i, false)
 	}
 	if len(j.done) == j.spec.Count && j.endedAt == 0 {
 		j.endedAt = max(s.env.Now(), 1)
 	}
 }
 
-func (s *Service) end(j *job, index int, success bool) {
+func (s *Service) endTask(j *job, index int, success bool) {
 	if _, ended := j.done[index]; ended {
 		return
 	}
@@ -204,18 +212,18 @@
 		return
 	}
 	j.canceled = true
-	if w, waits := s.waiting[k]; waits {
-		delete(s.waiting, k)
+	if w, waits := s.submissions[k]; waits {
+		delete(s.submissions, k)
 		for _, c := range w.callers {
-			s.tasks.Reply(c, s.state(k, j))
+			s.tasks.Reply(c, s.statusAnswer(k, j))
 		}
 	}
 	if _, mine := s.ownership.Mine(k.shard()); mine {
-		s.stop(j)
+		s.cancelTasks(j)
 	}
 }
 
-func (s *Service) stop(j *job) {
+func (s *Service) cancelTasks(j *job) {
 	for i := range j.spec.Count {
 		if _, ended := j.done[i]; !ended {
 			s.tasks.CancelTask(taskOf(j.spec, i))
@@ -223,8 +231,8 @@
 	}
 }
 
-// OnShardMoved takes over the jobs of a gained shard. Their tasks may have been
-// started by the owner before.
+// OnShardMoved takes over the jobs of a shard that this instance now owns. The
+// previous owner may have started their tasks.
 func (s *Service) OnShardMoved(m service.ShardMove) {
 	if m.After != s.env.Owner() {
 		return
@@ -234,27 +242,27 @@
 		if k.shard() != m.Shard || j.endedAt > 0 {
 			continue
 		}
-		s.run(j, true)
+		s.addTasks(j, true)
 		if j.canceled {
-			s.stop(j)
+			s.cancelTasks(j)
 		}
 	}
 }
 
 func (s *Service) refuse(k key, e *verdict.Error) {
-	w, ok := s.waiting[k]
+	w, ok := s.submissions[k]
 	if !ok {
 		return
 	}
-	delete(s.waiting, k)
+	delete(s.submissions, k)
 	for _, c := range w.callers {
 		s.tasks.Reply(c, model.Refusal(string(k.id), e))
 	}
 }
 
 func (s *Service) expireSubmissions(now time.Duration) {
-	for _, k := range sortedKeys(s.waiting) {
-		if now >= s.waiting[k].deadline {
+	for _, k := range sortedKeys(s.submissions) {
+		if now >= s.submissions[k].deadline {
 			e := verdict.Refuse(verdict.CodeInDoubt, "the job may be in the log; submit it again with the same id").After(retryAfter)
 			e.Verdict = verdict.MayHaveRun
 			s.refuse(k, e)
@@ -262,7 +270,7 @@
 	}
 }
 
-// forgetOld drops jobs that ended longer ago than the retention.
+// forgetOld removes jobs that ended longer ago than the retention time.
 func (s *Service) forgetOld(now time.Duration) {
 	s.order = slices.DeleteFunc(s.order, func(k key) bool {
 		j := s.jobs[k]
@@ -274,7 +282,7 @@
 	})
 }
 
-// Cancel starts to cancel a job. It reports whether there is such a job.
+// Cancel starts the cancellation of a job. It reports whether the job exists.
 func (s *Service) Cancel(c requests.Caller, team model.TeamID, id model.JobID) bool {
 	k := key{team, id}
 	j, ok := s.jobs[k]
@@ -282,13 +290,13 @@
 		return false
 	}
 	if j.canceled || j.endedAt > 0 {
-		s.tasks.Reply(c, s.state(k, j))
+		s.tasks.Reply(c, s.statusAnswer(k, j))
 		return true
 	}
-	w, waits := s.waiting[k]
+	w, waits := s.submissions[k]
 	if !waits {
 		w = &submission{deadline: s.env.Now() + submitTimeout}
-		s.waiting[k] = w
+		s.submissions[k] = w
 		appendID := s.env.Append(wire.JobCanceled{Team: team, Job: id})
 		s.appends[appendID] = append(s.appends[appendID], k)
 	}
--- a/internal/service/jobs/status.go
+++ b/internal/service/jobs/status.go
@@ -7,7 +7,8 @@
 	"pollenbend/internal/verdict"
 )
 
-// Document describes a job in status answers.
+// Document describes a job in status answers. Waiting and Running count the tasks
+// that have not ended; Why explains the wait.
 type Document struct {
 	Count    int             `json:"count"`
 	Done     int             `json:"done"`
@@ -18,22 +19,23 @@
 	Why      json.RawMessage `json:"why,omitempty"`
 }
 
-// Status returns the state of a job.
+// Status returns the state of a job, with an explanation of the wait if why is set.
+// It returns false when the job is unknown.
 func (s *Service) Status(team model.TeamID, id model.JobID, why bool) (model.Answer, bool) {
 	k := key{team, id}
 	j, ok := s.jobs[k]
 	if !ok {
 		return model.Answer{}, false
 	}
-	a := s.state(k, j)
+	a := s.statusAnswer(k, j)
 	if why {
-		a.Body = document(s.document(j, true))
+		a.Body = encodeDocument(s.document(j, true))
 	}
 	return a, true
 }
 
-func (s *Service) state(k key, j *job) model.Answer {
-	a := model.Answer{ID: string(k.id), Verdict: verdict.Pending, Body: document(s.document(j, false))}
+func (s *Service) statusAnswer(k key, j *job) model.Answer {
+	a := model.Answer{ID: string(k.id), Verdict: verdict.Pending, Body: encodeDocument(s.document(j, false))}
 	switch {
 	case j.endedAt == 0:
 	case j.canceled:
@@ -61,7 +63,7 @@
 	return d
 }
 
-func document(d Document) []byte {
+func encodeDocument(d Document) []byte {
 	body, err := json.Marshal(d)
 	if err != nil {
 		return nil
