--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -11,13 +11,14 @@
 	"pollenbend/internal/model"
 )
 
-// BenchmarkSend measures payloads of 256 bytes from Send to the peer's handler.
+// BenchmarkSend measures the throughput of 256-byte payloads from Send to the
+// peer's handler.
 func BenchmarkSend(b *testing.B) {
 	ca := devCA(b, "a")
-	from, up := listen(b, ca, "entry-1", nil)
-	to, received := listen(b, ca, "entry-2", nil)
-	from.SetPeers(at("entry-2", to.Addr()))
-	<-up.up
+	from, senderEvents := listen(b, ca, "entry-1", nil)
+	to, receiverEvents := listen(b, ca, "entry-2", nil)
+	from.SetPeers(peerAt("entry-2", to.Addr()))
+	<-senderEvents.up
 	const window = 1024
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -27,53 +28,54 @@
 			require.True(b, from.Send("entry-2", make([]byte, 256)))
 			sent++
 		}
-		<-received.messages
+		<-receiverEvents.messages
 		arrived++
 	}
 }
 
-// BenchmarkHeartbeat measures what one dialled connection without payloads costs
-// on the wire for each heartbeat.
+// BenchmarkHeartbeat measures the network traffic of one dialled connection
+// without payloads for each heartbeat.
 func BenchmarkHeartbeat(b *testing.B) {
 	ca := devCA(b, "a")
 	to, _ := listen(b, ca, "entry-2", nil)
-	between := newRelay(b, to.Addr())
+	proxy := newRelay(b, to.Addr())
 	const heartbeat = 100 * time.Millisecond
-	from, up := listen(b, ca, "entry-1", func(c *Config) { c.Heartbeat, c.DeadAfter = heartbeat, time.Minute })
-	from.SetPeers(at("entry-2", between.front.LocalAddr().String()))
-	<-up.up
+	from, events := listen(b, ca, "entry-1", func(c *Config) { c.Heartbeat, c.DeadAfter = heartbeat, time.Minute })
+	from.SetPeers(peerAt("entry-2", proxy.frontSocket.LocalAddr().String()))
+	<-events.up
 	ticker := time.NewTicker(heartbeat)
 	defer ticker.Stop()
-	for range 20 { // path discovery is over by then
+	for range 20 { // until path MTU discovery has finished
 		<-ticker.C
 	}
-	bytes, count := between.bytes.Load(), between.count.Load()
+	bytes, count := proxy.forwardedBytes.Load(), proxy.forwardedDatagrams.Load()
 	b.ResetTimer()
 	for range b.N {
 		<-ticker.C
 	}
-	b.ReportMetric(float64(between.bytes.Load()-bytes)/float64(b.N), "bytes/heartbeat")
-	b.ReportMetric(float64(between.count.Load()-count)/float64(b.N), "datagrams/heartbeat")
+	b.ReportMetric(float64(proxy.forwardedBytes.Load()-bytes)/float64(b.N), "bytes/heartbeat")
+	b.ReportMetric(float64(proxy.forwardedDatagrams.Load()-count)/float64(b.N), "datagrams/heartbeat")
 }
 
-// BenchmarkIdlePeers measures the memory of one dialled connection that carries
-// nothing, both ends together.
+// BenchmarkIdlePeers measures the memory of one idle dialled connection, both
+// ends together.
 func BenchmarkIdlePeers(b *testing.B) {
 	ca := devCA(b, "a")
 	to, _ := listen(b, ca, "entry-0", nil)
-	before := memory()
+	before := memoryInUse()
 	for i := range b.N {
 		id := model.InstanceID("entry-" + strconv.Itoa(i+1))
-		up := newRecorder(1)
-		from, _ := listen(b, ca, id, func(c *Config) { c.Handler = up })
-		from.SetPeers(at("entry-0", to.Addr()))
-		<-up.up
+		events := newRecorder(1)
+		from, _ := listen(b, ca, id, func(c *Config) { c.Handler = events })
+		from.SetPeers(peerAt("entry-0", to.Addr()))
+		<-events.up
 	}
-	b.ReportMetric(float64(memory()-before)/float64(b.N), "bytes/connection")
+	b.ReportMetric(float64(memoryInUse()-before)/float64(b.N), "bytes/connection")
 }
 
-// memory returns the bytes of live heap and of stacks.
-func memory() uint64 {
+// memoryInUse returns the bytes in use by the heap and by stacks, after a
+// garbage collection.
+func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -11,15 +11,16 @@
 	"pollenbend/internal/model"
 )
 
-// Limits of what may be sent, in bytes.
+// Size limits of payloads, in bytes.
 const (
-	// MaxOrdered is the longest payload that keeps its place among the others.
-	MaxOrdered = 16 << 10
-	// MaxPayload is the longest payload.
+	// MaxOrderedPayload is the maximum size of a payload that is delivered in
+	// the order in which it was sent.
+	MaxOrderedPayload = 16 << 10
+	// MaxPayload is the maximum size of any payload.
 	MaxPayload = 8 << 20
 )
 
-// frameKind is the first byte after a frame's length.
+// frameKind is the type of a frame. It is the byte that follows the frame's length.
 type frameKind byte
 
 const (
@@ -27,25 +28,27 @@
 	framePayload
 	framePing
 	framePong
-	frameBye
+	frameEnd // end of the ordered payloads; the receiver answers it with the same kind
 )
 
-// lengthBytes is the size of the length that starts a frame. The length counts
-// the kind and the body.
-const lengthBytes = 4
+// frameLengthBytes is the size in bytes of the length that starts a frame. The
+// length covers the kind and the body.
+const frameLengthBytes = 4
 
-// hello is the first frame in either direction of a connection's first stream.
-// Serial grows with every connection that one incarnation of the dialler opens.
+// hello is the body of the first frame in either direction of a connection's
+// first stream. The dialling side sets Serial, which increases with every
+// connection that one incarnation opens.
 type hello struct {
 	Instance    model.InstanceID  `cbor:"1,keyasint"`
 	Incarnation model.Incarnation `cbor:"2,keyasint"`
 	Serial      uint64            `cbor:"3,keyasint,omitempty"`
 }
 
+// writeFrame writes the length, the kind and the body.
 func writeFrame(w io.Writer, kind frameKind, body []byte) error {
-	var head [lengthBytes + 1]byte
+	var head [frameLengthBytes + 1]byte
 	binary.BigEndian.PutUint32(head[:], uint32(1+len(body)))
-	head[lengthBytes] = byte(kind)
+	head[frameLengthBytes] = byte(kind)
 	if _, err := w.Write(head[:]); err != nil {
 		return err
 	}
@@ -55,7 +58,7 @@
 
 // readFrame reads a frame whose body has at most limit bytes.
 func readFrame(r io.Reader, limit int) (frameKind, []byte, error) {
-	var head [lengthBytes + 1]byte
+	var head [frameLengthBytes + 1]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, nil, err
 	}
@@ -67,7 +70,7 @@
 	if _, err := io.ReadFull(r, body); err != nil {
 		return 0, nil, err
 	}
-	return frameKind(head[lengthBytes]), body, nil
+	return frameKind(head[frameLengthBytes]), body, nil
 }
 
 func writeHello(w *bufio.Writer, h hello) error {
@@ -82,12 +85,12 @@
 }
 
 func readHello(r io.Reader) (hello, error) {
-	kind, body, err := readFrame(r, MaxOrdered)
+	kind, body, err := readFrame(r, MaxOrderedPayload)
 	if err != nil {
 		return hello{}, err
 	}
 	if kind != frameHello {
-		return hello{}, errors.Newf("frame kind %d in place of a hello", kind)
+		return hello{}, errors.Newf("unexpected frame kind %d; the first frame must be a hello", kind)
 	}
 	var h hello
 	if err := cbor.Unmarshal(body, &h); err != nil {
--- a/internal/transport/heartbeat.go
+++ b/internal/transport/heartbeat.go
@@ -2,42 +2,44 @@
 
 import "time"
 
-// heartbeat decides when a connection's next ping is due and when its pongs have
-// ceased. It is owned by one goroutine.
+// heartbeat decides when a connection's next ping is due and when the peer has
+// not answered in time. It is owned by one goroutine.
 type heartbeat struct {
-	idle      time.Duration // between pings while nothing is sent
-	deadAfter time.Duration
-	pings     uint64
-	pongs     uint64    // as of the last check
-	progress  time.Time // of the last pong, or of the last time none was due
-	checked   time.Time
-	pinged    time.Time
+	idleInterval time.Duration // between pings while no payload is sent
+	timeout      time.Duration
+	pings        uint64
+	pongs        uint64    // as of the last check
+	lastProgress time.Time // last time that a pong arrived or no ping was unanswered
+	lastCheck    time.Time
+	lastPing     time.Time
 }
 
 func newHeartbeat(cfg Config, now time.Time) heartbeat {
-	idle := cfg.IdleHeartbeat - cfg.Heartbeat/2 // checks come a little early or late
-	return heartbeat{idle: idle, deadAfter: cfg.DeadAfter, progress: now, checked: now}
+	idleInterval := cfg.IdleHeartbeat - cfg.Heartbeat/2 // half an interval of tolerance, as checks are not exactly on time
+	return heartbeat{idleInterval: idleInterval, timeout: cfg.DeadAfter, lastProgress: now, lastCheck: now}
 }
 
-// silent reports whether a ping has waited too long for its pong. A pause of this
-// process itself does not count.
-func (h *heartbeat) silent(now time.Time, pongs uint64) bool {
-	paused := now.Sub(h.checked) > h.deadAfter/2
+// timedOut reports whether a ping has been unanswered for longer than the
+// timeout. pongs is the number received so far. A pause of this process does not
+// count: a long gap between checks restarts the timeout.
+func (h *heartbeat) timedOut(now time.Time, pongs uint64) bool {
+	paused := now.Sub(h.lastCheck) > h.timeout/2
 	if paused || pongs != h.pongs || pongs == h.pings {
-		h.progress = now
+		h.lastProgress = now
 	}
 	h.pongs = pongs
-	h.checked = now
-	return now.Sub(h.progress) > h.deadAfter
+	h.lastCheck = now
+	return now.Sub(h.lastProgress) > h.timeout
 }
 
-// due reports whether to ping: at once while payloads are sent, otherwise after
-// the idle time.
-func (h *heartbeat) due(now time.Time, active bool) bool {
-	return active || now.Sub(h.pinged) >= h.idle
+// pingDue reports whether to send a ping: at every check while payloads are
+// sent, otherwise after the idle interval.
+func (h *heartbeat) pingDue(now time.Time, active bool) bool {
+	return active || now.Sub(h.lastPing) >= h.idleInterval
 }
 
-func (h *heartbeat) asked(now time.Time) {
+// recordPing records that a ping was requested at now.
+func (h *heartbeat) recordPing(now time.Time) {
 	h.pings++
-	h.pinged = now
+	h.lastPing = now
 }
--- a/internal/transport/identity.go
+++ b/internal/transport/identity.go
@@ -18,52 +18,53 @@
 )
 
 // protocol is the ALPN name of the protocol between instances.
-const protocol = "pollenbend/1"
+const alpnProtocol = "pollenbend/1"
 
-// Identity is what an instance proves itself with: the certificate authority of
-// all instances, its own certificate, whose DNS name is the instance id, and the
-// private key.
+// Identity holds the credentials of an instance in PEM: the certificate of the
+// authority that signs all instances, the instance's own certificate, whose DNS
+// name is the instance id, and its private key.
 type Identity struct {
 	CAPEM   []byte
 	CertPEM []byte
 	KeyPEM  []byte
 }
 
-func (id Identity) configs() (server, client *tls.Config, err error) {
+// tlsConfigs returns the TLS configurations for accepting and for dialling.
+func (id Identity) tlsConfigs() (server, client *tls.Config, err error) {
 	cert, err := tls.X509KeyPair(id.CertPEM, id.KeyPEM)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "instance certificate")
+		return nil, nil, errors.Wrap(err, "load instance certificate")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(id.CAPEM) {
-		return nil, nil, errors.New("no certificate in the authority's PEM")
+		return nil, nil, errors.New("the authority's PEM contains no certificate")
 	}
 	server = &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{cert},
-		NextProtos:   []string{protocol},
+		NextProtos:   []string{alpnProtocol},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		ClientCAs:    pool,
 	}
 	client = &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{cert},
-		NextProtos:   []string{protocol},
+		NextProtos:   []string{alpnProtocol},
 		RootCAs:      pool,
 	}
 	return server, client, nil
 }
 
 // certified reports whether the verified peer certificate was issued to id.
-func certified(state tls.ConnectionState, id model.InstanceID) bool {
+func issuedTo(state tls.ConnectionState, id model.InstanceID) bool {
 	if len(state.PeerCertificates) == 0 {
 		return false
 	}
 	return slices.Contains(state.PeerCertificates[0].DNSNames, string(id))
 }
 
-// DevCA is a certificate authority in memory for development and tests. Every
-// DevCA made from the same seed issues the same certificates.
+// DevCA is an in-memory certificate authority for development and tests. Every
+// DevCA created from the same seed issues the same certificates.
 type DevCA struct {
 	seed []byte
 	key  ed25519.PrivateKey
@@ -77,7 +78,7 @@
 	devNotAfter  = time.Date(2120, time.January, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// NewDevCA reads 32 bytes of seed and makes an authority from them.
+// NewDevCA reads a seed of 32 bytes and derives an authority from it.
 func NewDevCA(seed io.Reader) (*DevCA, error) {
 	buf := make([]byte, ed25519.SeedSize)
 	if _, err := io.ReadFull(seed, buf); err != nil {
@@ -104,7 +105,8 @@
 	return &DevCA{seed: buf, key: key, cert: cert, pem: encodePEM("CERTIFICATE", der)}, nil
 }
 
-// Issue returns the identity of one instance.
+// Issue returns the identity of one instance. The key is derived from the
+// authority's seed and the id.
 func (ca *DevCA) Issue(id model.InstanceID) (Identity, error) {
 	seed := sha256.Sum256(append(slices.Clone(ca.seed), id...))
 	key := ed25519.NewKeyFromSeed(seed[:])
--- a/internal/transport/inbound.go
+++ b/internal/transport/inbound.go
@@ -11,14 +11,15 @@
 
 // inbound is one accepted connection.
 type inbound struct {
-	t    *Transport
-	conn *quic.Conn
-	peer hello
-	in   *bufio.Reader
-	out  *bufio.Writer
-	done chan struct{} // closed after the last PeerMessage
+	t      *Transport
+	conn   *quic.Conn
+	peer   hello
+	reader *bufio.Reader
+	writer *bufio.Writer
+	done   chan struct{} // closed after the last PeerMessage
 }
 
+// accept serves incoming connections until the transport is closed.
 func (t *Transport) accept() {
 	defer t.wg.Done()
 	for {
@@ -39,24 +40,25 @@
 func (t *Transport) serveInbound(conn *quic.Conn) error {
 	in, err := t.receiveHello(conn)
 	if err != nil {
-		t.stats.refusedPeers.Inc(1)
+		t.stats.connectionsRefused.Inc(1)
 		_ = conn.CloseWithError(codeRefused, "hello")
 		return err
 	}
 	defer close(in.done)
-	if err := t.admit(in); err != nil {
+	if err := t.register(in); err != nil {
 		_ = conn.CloseWithError(codeReplaced, err.Error())
 		return err
 	}
-	defer t.forget(in)
-	if err := writeHello(in.out, hello{Instance: t.cfg.Self, Incarnation: t.cfg.Incarnation}); err != nil {
+	defer t.unregister(in)
+	if err := writeHello(in.writer, hello{Instance: t.cfg.Self, Incarnation: t.cfg.Incarnation}); err != nil {
 		_ = conn.CloseWithError(codeProtocol, "hello")
 		return err
 	}
 	return in.serve()
 }
 
-// receiveHello reads the hello and checks it against the certificate.
+// receiveHello reads the hello and checks that the certificate was issued to the
+// instance that it names.
 func (t *Transport) receiveHello(conn *quic.Conn) (*inbound, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, t.cfg.DeadAfter)
 	defer cancel()
@@ -67,45 +69,48 @@
 		return nil, errors.Wrap(err, "accept stream")
 	}
 	in := &inbound{
-		t:    t,
-		conn: conn,
-		in:   bufio.NewReaderSize(stream, bufferBytes),
-		out:  bufio.NewWriter(stream),
-		done: make(chan struct{}),
+		t:      t,
+		conn:   conn,
+		reader: bufio.NewReaderSize(stream, streamBufferBytes),
+		writer: bufio.NewWriter(stream),
+		done:   make(chan struct{}),
 	}
-	in.peer, err = readHello(in.in)
+	in.peer, err = readHello(in.reader)
 	if err != nil {
 		return nil, errors.Wrap(err, "read hello")
 	}
-	if !certified(conn.ConnectionState().TLS, in.peer.Instance) {
-		return nil, errors.Newf("certificate is not of %q", in.peer.Instance)
+	if !issuedTo(conn.ConnectionState().TLS, in.peer.Instance) {
+		return nil, errors.Newf("peer certificate was not issued to %q", in.peer.Instance)
 	}
 	return in, nil
 }
 
-// admit makes in the current connection of its peer. It first ends the one
-// before, so that payloads of two connections never mix.
-func (t *Transport) admit(in *inbound) error {
+// register makes in the current connection of its peer. It first closes the
+// previous one and waits for its last payload, so that payloads of two
+// connections never interleave. A connection older than the current one of the
+// same incarnation is refused.
+func (t *Transport) register(in *inbound) error {
 	id := in.peer.Instance
 	for {
 		t.mu.Lock()
-		before := t.inbound[id]
-		if before == nil {
+		previous := t.inbound[id]
+		if previous == nil {
 			t.inbound[id] = in
 			t.mu.Unlock()
 			return nil
 		}
 		t.mu.Unlock()
-		if before.peer.Incarnation == in.peer.Incarnation && before.peer.Serial > in.peer.Serial {
+		if previous.peer.Incarnation == in.peer.Incarnation && previous.peer.Serial > in.peer.Serial {
 			return errors.New("a newer connection is open")
 		}
-		_ = before.conn.CloseWithError(codeReplaced, "replaced")
-		<-before.done
-		t.forget(before)
+		_ = previous.conn.CloseWithError(codeReplaced, "replaced")
+		<-previous.done
+		t.unregister(previous)
 	}
 }
 
-func (t *Transport) forget(in *inbound) {
+// unregister removes in unless a newer connection has replaced it.
+func (t *Transport) unregister(in *inbound) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.inbound[in.peer.Instance] == in {
@@ -133,9 +138,11 @@
 	return err
 }
 
+// readOrdered serves the first stream: it delivers ordered payloads and answers
+// pings and the end of the ordered payloads.
 func (in *inbound) readOrdered() error {
 	for {
-		kind, body, err := readFrame(in.in, MaxOrdered)
+		kind, body, err := readFrame(in.reader, MaxOrderedPayload)
 		if err != nil {
 			return err
 		}
@@ -144,21 +151,22 @@
 			in.deliver(body)
 			continue
 		case framePing:
-			err = writeFrame(in.out, framePong, nil)
-		case frameBye:
-			err = writeFrame(in.out, frameBye, nil)
+			err = writeFrame(in.writer, framePong, nil)
+		case frameEnd:
+			err = writeFrame(in.writer, frameEnd, nil)
 		default:
 			err = errors.Newf("unexpected frame kind %d", kind)
 		}
 		if err != nil {
 			return err
 		}
-		if err := in.out.Flush(); err != nil {
+		if err := in.writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
+// acceptBulk accepts streams that carry one bulk payload each.
 func (in *inbound) acceptBulk() {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -175,7 +183,8 @@
 	}
 }
 
-// readBulk reads one payload. Closing the stream tells the sender so.
+// readBulk reads one payload. Closing the stream confirms the delivery to the
+// sender.
 func (in *inbound) readBulk(stream *quic.Stream) error {
 	kind, body, err := readFrame(stream, MaxPayload)
 	if err != nil {
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -14,96 +14,98 @@
 	"pollenbend/internal/model"
 )
 
-// Bounds of one connection's queues.
+// Limits of one connection.
 const (
-	orderedQueue = 2048     // payloads of up to MaxOrdered bytes
-	bulkQueue    = 64       // longer payloads
-	queueBytes   = 16 << 20 // both together
-	bulkStreams  = 2        // longer payloads under way at once
-	bufferBytes  = 16 << 10 // of the first stream, in each direction
+	orderedQueueLength = 2048     // payloads of at most MaxOrderedPayload bytes
+	bulkQueueLength    = 64       // longer payloads, called bulk payloads
+	maxQueuedBytes     = 16 << 20 // total size of both queues
+	maxBulkStreams     = 2        // bulk payloads in transit at the same time
+	streamBufferBytes  = 16 << 10 // buffer of the first stream, in each direction
 )
 
 // Application error codes of closed connections.
 const (
-	codeClosed   quic.ApplicationErrorCode = 0 // planned
-	codeRefused  quic.ApplicationErrorCode = 1 // no valid hello
-	codeSilent   quic.ApplicationErrorCode = 2 // no pong in time
+	codeClosed   quic.ApplicationErrorCode = 0 // the transport is closed or the peer was removed
+	codeRefused  quic.ApplicationErrorCode = 1 // no valid hello was received
+	codeTimedOut quic.ApplicationErrorCode = 2 // no pong arrived in time
 	codeReplaced quic.ApplicationErrorCode = 3 // the dialler has a newer connection
 	codeProtocol quic.ApplicationErrorCode = 4 // malformed frame
 )
 
-var errSilent = errors.New("no pong in time")
+var errHeartbeatTimeout = errors.New("no pong in time")
 
-// link is one dialled connection.
+// link is one dialled connection. Ordered payloads, pings and pongs use its
+// first stream; each bulk payload uses a stream of its own.
 type link struct {
 	t           *Transport
 	conn        *quic.Conn
 	stream      *quic.Stream
-	in          *bufio.Reader
-	out         *bufio.Writer
+	reader      *bufio.Reader
+	writer      *bufio.Writer
 	incarnation model.Incarnation // of the peer
 	closeSocket func()
 
-	ping     chan struct{}
-	pongs    atomic.Uint64
-	active   atomic.Bool   // payloads were queued since the last ping
-	bye      chan struct{} // closed when the peer has read every ordered payload
-	byeOnce  sync.Once
-	bulkDone chan struct{} // closed when the peer has read every bulk payload
+	pingRequests    chan struct{}
+	pongs           atomic.Uint64
+	sentSincePing   atomic.Bool   // payloads were queued since the last ping
+	orderedDone     chan struct{} // closed when the peer has confirmed every ordered payload
+	orderedDoneOnce sync.Once
+	bulkDone        chan struct{} // closed when every bulk payload is confirmed or lost
 
-	mu      sync.Mutex
-	closed  bool // no further sends
-	queued  int64
-	ordered chan []byte
-	bulk    chan []byte
+	mu          sync.Mutex
+	closed      bool // refuses further payloads
+	queuedBytes int64
+	ordered     chan []byte
+	bulk        chan []byte
 }
 
 func newLink(t *Transport, conn *quic.Conn, stream *quic.Stream) *link {
 	return &link{
-		t:        t,
-		conn:     conn,
-		stream:   stream,
-		in:       bufio.NewReaderSize(stream, bufferBytes),
-		out:      bufio.NewWriterSize(stream, bufferBytes),
-		ping:     make(chan struct{}, 1),
-		bye:      make(chan struct{}),
-		bulkDone: make(chan struct{}),
-		ordered:  make(chan []byte, orderedQueue),
-		bulk:     make(chan []byte, bulkQueue),
+		t:            t,
+		conn:         conn,
+		stream:       stream,
+		reader:       bufio.NewReaderSize(stream, streamBufferBytes),
+		writer:       bufio.NewWriterSize(stream, streamBufferBytes),
+		pingRequests: make(chan struct{}, 1),
+		orderedDone:  make(chan struct{}),
+		bulkDone:     make(chan struct{}),
+		ordered:      make(chan []byte, orderedQueueLength),
+		bulk:         make(chan []byte, bulkQueueLength),
 	}
 }
 
-// enqueue never blocks and reports whether the payload was queued.
+// enqueue queues a payload without blocking and reports whether it was queued.
 func (l *link) enqueue(payload []byte) bool {
 	if len(payload) > MaxPayload {
 		return false
 	}
 	queue := l.ordered
-	if len(payload) > MaxOrdered {
+	if len(payload) > MaxOrderedPayload {
 		queue = l.bulk
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || l.queued+int64(len(payload)) > queueBytes {
+	if l.closed || l.queuedBytes+int64(len(payload)) > maxQueuedBytes {
 		return false
 	}
 	select {
 	case queue <- payload:
-		l.queued += int64(len(payload))
-		l.active.Store(true)
+		l.queuedBytes += int64(len(payload))
+		l.sentSincePing.Store(true)
 		return true
 	default:
 		return false
 	}
 }
 
-func (l *link) dequeued(payload []byte) {
+// recordDequeued subtracts a payload that has left its queue from queuedBytes.
+func (l *link) recordDequeued(payload []byte) {
 	l.mu.Lock()
-	l.queued -= int64(len(payload))
+	l.queuedBytes -= int64(len(payload))
 	l.mu.Unlock()
 }
 
-// stopSends refuses further payloads. Those queued are still sent.
+// stopSends makes enqueue refuse further payloads. Queued payloads are still sent.
 func (l *link) stopSends() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,9 +117,9 @@
 	close(l.bulk)
 }
 
-// waitDrained waits until the peer has read everything that was queued.
+// waitDrained waits until the peer has confirmed everything that was queued.
 func (l *link) waitDrained(ctx context.Context) error {
-	for _, done := range []<-chan struct{}{l.bye, l.bulkDone} {
+	for _, done := range []<-chan struct{}{l.orderedDone, l.bulkDone} {
 		select {
 		case <-done:
 		case <-l.conn.Context().Done():
@@ -129,22 +131,22 @@
 	return nil
 }
 
-// release frees the connection's socket.
+// release closes the connection and its socket.
 func (l *link) release() {
 	l.stopSends()
 	_ = l.conn.CloseWithError(codeClosed, "")
 	l.closeSocket()
 }
 
-// serve sends what is queued until ctx ends or the connection is lost. It
-// returns the cause.
+// serve sends queued payloads until ctx ends or the connection is lost, and
+// returns the cause of the end.
 func (l *link) serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.conn.CloseWithError(codeClosed, "") })
 	defer stop()
 	var wg sync.WaitGroup
 	wg.Go(l.writeOrdered)
 	wg.Go(l.readReplies)
-	wg.Go(l.watch)
+	wg.Go(l.runHeartbeat)
 	wg.Go(l.sendBulk)
 	<-l.conn.Context().Done()
 	l.stopSends()
@@ -152,8 +154,9 @@
 	return context.Cause(l.conn.Context())
 }
 
-// watch asks for pings and closes the connection when the pongs cease.
-func (l *link) watch() {
+// runHeartbeat requests pings and closes the connection when no pong arrives in
+// time.
+func (l *link) runHeartbeat() {
 	ticker := time.NewTicker(l.t.cfg.Heartbeat)
 	defer ticker.Stop()
 	h := newHeartbeat(l.t.cfg, time.Now())
@@ -164,29 +167,30 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		if h.silent(now, l.pongs.Load()) {
-			l.t.stats.silent.Inc(1)
-			_ = l.conn.CloseWithError(codeSilent, errSilent.Error())
+		if h.timedOut(now, l.pongs.Load()) {
+			l.t.stats.heartbeatTimeouts.Inc(1)
+			_ = l.conn.CloseWithError(codeTimedOut, errHeartbeatTimeout.Error())
 			return
 		}
-		if h.due(now, l.active.Load()) {
-			l.askPing(&h, now)
+		if h.pingDue(now, l.sentSincePing.Load()) {
+			l.requestPing(&h, now)
 		}
 	}
 }
 
-// askPing has the writer send a ping, unless one still waits to be written.
-func (l *link) askPing(h *heartbeat, now time.Time) {
-	l.active.Store(false)
+// requestPing makes writeOrdered send a ping, unless one is already waiting to be
+// written.
+func (l *link) requestPing(h *heartbeat, now time.Time) {
+	l.sentSincePing.Store(false)
 	select {
-	case l.ping <- struct{}{}:
-		h.asked(now)
+	case l.pingRequests <- struct{}{}:
+		h.recordPing(now)
 	default:
 	}
 }
 
-// writeOrdered writes the ordered queue and the pings to the first stream, and a
-// bye once the queue is closed and empty.
+// writeOrdered writes ordered payloads and pings to the first stream, and an end
+// frame once the queue is closed and empty.
 func (l *link) writeOrdered() {
 	ordered := l.ordered
 	for {
@@ -194,19 +198,19 @@
 		select {
 		case <-l.conn.Context().Done():
 			return
-		case <-l.ping:
-			err = writeFrame(l.out, framePing, nil)
+		case <-l.pingRequests:
+			err = writeFrame(l.writer, framePing, nil)
 		case payload, ok := <-ordered:
 			if ok {
-				err = writeFrame(l.out, framePayload, payload)
-				l.dequeued(payload)
+				err = writeFrame(l.writer, framePayload, payload)
+				l.recordDequeued(payload)
 				break
 			}
 			ordered = nil
-			err = writeFrame(l.out, frameBye, nil)
+			err = writeFrame(l.writer, frameEnd, nil)
 		}
 		if err == nil && len(ordered) == 0 {
-			err = l.out.Flush()
+			err = l.writer.Flush()
 		}
 		if err != nil {
 			_ = l.conn.CloseWithError(codeProtocol, err.Error())
@@ -215,10 +219,10 @@
 	}
 }
 
-// readReplies reads pongs and the answer to the bye.
+// readReplies reads pongs and the reply to the end frame.
 func (l *link) readReplies() {
 	for {
-		kind, _, err := readFrame(l.in, MaxOrdered)
+		kind, _, err := readFrame(l.reader, MaxOrderedPayload)
 		if err != nil {
 			_ = l.conn.CloseWithError(codeProtocol, err.Error())
 			return
@@ -226,22 +230,22 @@
 		switch kind {
 		case framePong:
 			l.pongs.Add(1)
-		case frameBye:
-			l.byeOnce.Do(func() { close(l.bye) })
+		case frameEnd:
+			l.orderedDoneOnce.Do(func() { close(l.orderedDone) })
 		}
 	}
 }
 
-// sendBulk sends each payload of the bulk queue on a stream of its own.
+// sendBulk sends the payloads of the bulk queue, at most maxBulkStreams at a time.
 func (l *link) sendBulk() {
 	var wg sync.WaitGroup
-	for range bulkStreams {
+	for range maxBulkStreams {
 		wg.Go(func() {
 			for payload := range l.bulk {
 				if l.conn.Context().Err() == nil {
 					l.sendOnStream(payload)
 				}
-				l.dequeued(payload)
+				l.recordDequeued(payload)
 			}
 		})
 	}
@@ -249,9 +253,9 @@
 	close(l.bulkDone)
 }
 
-// sendOnStream returns when the peer has read the payload, or when the
-// connection is lost. A stream that fails alone takes the connection with it, so
-// that no payload is lost without a PeerDown.
+// sendOnStream sends a payload on a new stream. It returns when the peer has
+// confirmed the payload or the connection is lost. The failure of one stream
+// closes the connection, so that no payload is lost without a PeerDown.
 func (l *link) sendOnStream(payload []byte) {
 	stream, err := l.conn.OpenStreamSync(l.conn.Context())
 	if err == nil {
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -13,37 +13,39 @@
 	"pollenbend/internal/model"
 )
 
-// Backoff between attempts to reach a peer. Each wait is drawn between half of
-// the current step and the whole of it.
+// Limits of the exponential backoff between attempts to connect to a peer. Each
+// delay is drawn at random from the upper half of the current backoff.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// peer keeps a dialled connection to one instance.
+// peer maintains the dialled connection to one instance.
 type peer struct {
 	t      *Transport
 	id     model.InstanceID
 	addr   string
 	cancel context.CancelFunc
-	link   atomic.Pointer[link]
+	link   atomic.Pointer[link] // nil while there is no connection
 }
 
-// run dials again and again until ctx ends.
+// run connects, and reconnects after a backoff, until ctx ends. A connection
+// that lasted longer than DeadAfter resets the backoff.
 func (p *peer) run(ctx context.Context) {
-	step := minBackoff
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		started := time.Now()
 		p.connect(ctx)
 		if time.Since(started) > p.t.cfg.DeadAfter {
-			step = minBackoff
+			backoff = minBackoff
 		}
-		wait(ctx, step/2+rand.N(step/2))
-		step = min(2*step, maxBackoff)
+		sleep(ctx, backoff/2+rand.N(backoff/2))
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -58,29 +60,29 @@
 	l, err := p.dial(ctx)
 	if err != nil {
 		p.t.stats.dialFailures.Inc(1)
-		log.Debug("peer not reached", "error", err)
+		log.Debug("failed to connect to peer", "error", err)
 		return
 	}
 	defer l.release()
-	p.t.stats.open.Add(1)
+	p.t.stats.openConnections.Add(1)
 	p.link.Store(l)
 	p.t.cfg.Handler.PeerUp(p.id, l.incarnation)
-	log.Info("peer up", "incarnation", l.incarnation)
+	log.Info("connected to peer", "incarnation", l.incarnation)
 
 	cause := l.serve(ctx)
 
 	p.link.Store(nil)
-	p.t.stats.open.Add(-1)
+	p.t.stats.openConnections.Add(-1)
 	p.t.cfg.Handler.PeerDown(p.id, l.incarnation)
-	log.Info("peer down", "incarnation", l.incarnation, "cause", cause)
+	log.Info("connection to peer lost", "incarnation", l.incarnation, "cause", cause)
 }
 
-// dial opens a connection from a UDP socket of its own. A new socket gives the
-// connection a path that nothing between the two ends has state about.
+// dial opens a connection from a new UDP socket. Its new local port gives the
+// connection a path without old state in the network between the two ends.
 func (p *peer) dial(ctx context.Context) (*link, error) {
 	remote, err := net.ResolveUDPAddr("udp", p.addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "resolve")
+		return nil, errors.Wrap(err, "resolve peer address")
 	}
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: p.t.localIP})
 	if err != nil {
@@ -108,7 +110,8 @@
 	return l, nil
 }
 
-// exchangeHellos exchanges hellos on the first stream of conn.
+// exchangeHellos opens the first stream of conn, exchanges hellos and checks that
+// the peer is the instance that was dialled.
 func (p *peer) exchangeHellos(ctx context.Context, conn *quic.Conn) (*link, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.t.cfg.DeadAfter)
 	defer cancel()
@@ -120,16 +123,16 @@
 	}
 	l := newLink(p.t, conn, stream)
 	own := hello{Instance: p.t.cfg.Self, Incarnation: p.t.cfg.Incarnation, Serial: p.t.serial.Add(1)}
-	if err := writeHello(l.out, own); err != nil {
+	if err := writeHello(l.writer, own); err != nil {
 		return nil, errors.Wrap(err, "send hello")
 	}
-	answer, err := readHello(l.in)
+	reply, err := readHello(l.reader)
 	if err != nil {
 		return nil, errors.Wrap(err, "read hello")
 	}
-	if answer.Instance != p.id || !certified(conn.ConnectionState().TLS, p.id) {
-		return nil, errors.Newf("peer calls itself %q", answer.Instance)
+	if reply.Instance != p.id || !issuedTo(conn.ConnectionState().TLS, p.id) {
+		return nil, errors.Newf("peer identifies itself as %q or has a certificate of another instance", reply.Instance)
 	}
-	l.incarnation = answer.Incarnation
+	l.incarnation = reply.Incarnation
 	return l, nil
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,6 +1,6 @@
-// Package transport carries messages between the system's own instances over
-// QUIC with mutual TLS. Every instance dials every other one and sends on the
-// connection that it dialled; it receives on the connections that it accepted.
+// Package transport sends messages between the instances over QUIC with mutual
+// TLS. Every instance dials every other one. It sends on the connections that it
+// dialled and receives on the connections that it accepted.
 package transport
 
 import (
@@ -20,17 +20,17 @@
 	"pollenbend/internal/platform"
 )
 
-// Handler receives what arrives. Its methods are called from several goroutines
-// and must not block. Calls about one peer's outgoing connection alternate
-// between PeerUp and PeerDown.
+// Handler receives messages and changes of connections. Its methods are called
+// from several goroutines and must not block. Calls about one peer's outgoing
+// connection alternate between PeerUp and PeerDown.
 type Handler interface {
-	// PeerMessage delivers one payload, which the handler then owns.
+	// PeerMessage delivers one payload. The handler owns the slice.
 	PeerMessage(from model.InstanceID, inc model.Incarnation, payload []byte)
-	// PeerUp says that Send to id now has a connection to incarnation inc. Send
-	// may use the connection a moment before this call.
+	// PeerUp reports that there is now a connection to incarnation inc of
+	// instance id. Send may use the connection shortly before this call.
 	PeerUp(id model.InstanceID, inc model.Incarnation)
-	// PeerDown says that the connection is lost and with it every payload that
-	// was queued or under way; whether those arrived is unknown.
+	// PeerDown reports that the connection is lost, and with it every payload
+	// that was queued or in transit. It is unknown which of them arrived.
 	PeerDown(id model.InstanceID, inc model.Incarnation)
 }
 
@@ -40,7 +40,7 @@
 	DefaultDeadAfter = 2 * time.Second
 )
 
-// Config configures a Transport.
+// Config configures a Transport. Zero durations, Logger and Metrics get defaults.
 type Config struct {
 	Self        model.InstanceID
 	Incarnation model.Incarnation
@@ -48,10 +48,10 @@
 	TLS         Identity
 	Handler     Handler
 	Heartbeat   time.Duration // between pings
-	// IdleHeartbeat is the time between pings while nothing is sent; zero for
-	// Heartbeat. It keeps the cost of many idle peers down.
+	// IdleHeartbeat is the time between pings while no payload is sent, at least
+	// Heartbeat. A long one reduces the cost of many idle peers.
 	IdleHeartbeat time.Duration
-	DeadAfter     time.Duration // without a pong, after which a connection is replaced
+	DeadAfter     time.Duration // time without a pong after which a connection is replaced
 	Logger        *slog.Logger
 	Metrics       gometrics.Registry
 }
@@ -72,13 +72,13 @@
 	}
 }
 
-// Transport is one instance's end of the connections to all its peers.
+// Transport manages one instance's connections to all its peers.
 type Transport struct {
 	cfg       Config
 	stats     stats
 	serverTLS *tls.Config
 	clientTLS *tls.Config
-	localIP   net.IP // of dialled connections
+	localIP   net.IP // local address of dialled connections
 	socket    *net.UDPConn
 	quic      *quic.Transport
 	listener  *quic.Listener
@@ -87,17 +87,17 @@
 	wg        sync.WaitGroup
 	serial    atomic.Uint64 // of the last dialled connection
 
-	mu      sync.Mutex
-	closed  bool
-	peers   map[model.InstanceID]*peer
-	ending  map[model.InstanceID]<-chan struct{} // ends with the peer's last goroutine
-	inbound map[model.InstanceID]*inbound
+	mu       sync.Mutex
+	closed   bool
+	peers    map[model.InstanceID]*peer
+	peerDone map[model.InstanceID]<-chan struct{} // closed when the peer's latest goroutine has ended
+	inbound  map[model.InstanceID]*inbound
 }
 
 // Listen opens the UDP socket and starts accepting peers.
 func Listen(cfg Config) (*Transport, error) {
 	cfg.setDefaults()
-	server, client, err := cfg.TLS.configs()
+	server, client, err := cfg.TLS.tlsConfigs()
 	if err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 		socket:    socket,
 		quic:      &quic.Transport{Conn: socket},
 		peers:     make(map[model.InstanceID]*peer),
-		ending:    make(map[model.InstanceID]<-chan struct{}),
+		peerDone:  make(map[model.InstanceID]<-chan struct{}),
 		inbound:   make(map[model.InstanceID]*inbound),
 	}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
@@ -132,15 +132,15 @@
 	return t, nil
 }
 
-// idleFactor sets the idle timeout of QUIC in multiples of the time in which the
-// heartbeat notices a silent connection.
-const idleFactor = 2
+// idleTimeoutMultiplier is QUIC's idle timeout as a multiple of the time after
+// which the heartbeat detects an unresponsive connection.
+const idleTimeoutMultiplier = 2
 
 func (t *Transport) quicConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:  t.cfg.DeadAfter,
-		MaxIdleTimeout:        idleFactor * (t.cfg.IdleHeartbeat + t.cfg.DeadAfter),
-		MaxIncomingStreams:    1 + bulkStreams,
+		MaxIdleTimeout:        idleTimeoutMultiplier * (t.cfg.IdleHeartbeat + t.cfg.DeadAfter),
+		MaxIncomingStreams:    1 + maxBulkStreams,
 		MaxIncomingUniStreams: -1,
 	}
 }
@@ -148,8 +148,9 @@
 // Addr returns the UDP address that the transport listens on.
 func (t *Transport) Addr() string { return t.socket.LocalAddr().String() }
 
-// SetPeers dials the instances that are not yet connected and drops the
-// connections to those that are gone. The transport's own entry is ignored.
+// SetPeers replaces the set of peers. It dials new instances and those whose
+// address changed, and closes the connections to instances that are not in list.
+// The transport's own entry is ignored.
 func (t *Transport) SetPeers(list []platform.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -175,14 +176,15 @@
 	}
 }
 
-// startPeer is called with t.mu held.
+// startPeer starts connecting to a peer, once the previous goroutine for the same
+// instance has ended. The caller holds t.mu.
 func (t *Transport) startPeer(id model.InstanceID, addr string) {
 	ctx, cancel := context.WithCancel(t.ctx)
 	p := &peer{t: t, id: id, addr: addr, cancel: cancel}
-	previous := t.ending[id]
+	previous := t.peerDone[id]
 	done := make(chan struct{})
 	t.peers[id] = p
-	t.ending[id] = done
+	t.peerDone[id] = done
 	t.wg.Add(1)
 	go func() {
 		defer t.wg.Done()
@@ -195,21 +197,21 @@
 	}()
 }
 
-// Send queues a payload for a peer, and the transport then owns it. It reports
-// false when there is no connection, when the connection's queue is full, or
-// when the payload is longer than MaxPayload. It never blocks. Payloads of up to
-// MaxOrdered bytes arrive in the order in which they were sent.
+// Send queues a payload for a peer without blocking. The transport owns the
+// slice. Send returns false when there is no connection, when the connection's
+// queue is full, or when the payload is longer than MaxPayload. Payloads of at
+// most MaxOrderedPayload bytes arrive in the order in which they were sent.
 func (t *Transport) Send(to model.InstanceID, payload []byte) bool {
 	t.mu.Lock()
 	p, closed := t.peers[to], t.closed
 	t.mu.Unlock()
 	if p == nil || closed {
-		t.stats.refused.Inc(1)
+		t.stats.sendsRefused.Inc(1)
 		return false
 	}
 	l := p.link.Load()
 	if l == nil || !l.enqueue(payload) {
-		t.stats.refused.Inc(1)
+		t.stats.sendsRefused.Inc(1)
 		return false
 	}
 	t.stats.sent.Inc(1)
@@ -217,9 +219,9 @@
 	return true
 }
 
-// Close refuses further sends, waits until every peer has read what is queued or
-// ctx ends, and closes all connections. It returns ctx's error when queues were
-// cut off.
+// Close refuses further sends, waits until every peer has confirmed the queued
+// payloads or ctx ends, and closes all connections. It returns an error when
+// queued payloads may be lost: that of ctx or the cause of a lost connection.
 func (t *Transport) Close(ctx context.Context) error {
 	t.mu.Lock()
 	if t.closed {
@@ -248,7 +250,7 @@
 	return result
 }
 
-// links is called with t.mu held.
+// links returns the open dialled connections. The caller holds t.mu.
 func (t *Transport) links() []*link {
 	var links []*link
 	for _, p := range t.peers {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -23,15 +23,15 @@
 	payload []byte
 }
 
-// recorder is a Handler that passes everything on by channels.
+// recorder is a Handler that sends every call to a channel.
 type recorder struct {
 	messages chan message
 	up       chan model.Incarnation
 	down     chan model.Incarnation
 }
 
-func newRecorder(room int) *recorder {
-	return &recorder{make(chan message, room), make(chan model.Incarnation, room), make(chan model.Incarnation, room)}
+func newRecorder(capacity int) *recorder {
+	return &recorder{make(chan message, capacity), make(chan model.Incarnation, capacity), make(chan model.Incarnation, capacity)}
 }
 
 func (r *recorder) PeerMessage(from model.InstanceID, inc model.Incarnation, payload []byte) {
@@ -62,14 +62,14 @@
 	return tr, r
 }
 
-// closeNow closes without waiting for queues.
+// closeNow closes tr without waiting until the queues are sent.
 func closeNow(tr *Transport) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = tr.Close(ctx)
 }
 
-func at(id model.InstanceID, addr string) []platform.Instance {
+func peerAt(id model.InstanceID, addr string) []platform.Instance {
 	return []platform.Instance{{ID: id, PeerAddr: addr}}
 }
 
@@ -78,10 +78,10 @@
 	a, ra := listen(t, ca, "entry-1", nil)
 	b, rb := listen(t, ca, "entry-2", func(c *Config) { c.Incarnation = 9 })
 	require.False(t, a.Send("entry-2", []byte("early")))
-	a.SetPeers(at("entry-2", b.Addr()))
+	a.SetPeers(peerAt("entry-2", b.Addr()))
 	require.Equal(t, model.Incarnation(9), <-ra.up)
 
-	const count = orderedQueue
+	const count = orderedQueueLength
 	for i := range count {
 		require.True(t, a.Send("entry-2", fmt.Appendf(nil, "%d", i)))
 	}
@@ -99,12 +99,12 @@
 	ca := devCA(t, "a")
 	a, ra := listen(t, ca, "entry-1", nil)
 	b, rb := listen(t, ca, "entry-2", nil)
-	a.SetPeers(at("entry-2", b.Addr()))
+	a.SetPeers(peerAt("entry-2", b.Addr()))
 	<-ra.up
 
 	const count = 500
 	for range count {
-		require.True(t, a.Send("entry-2", bytes.Repeat([]byte("y"), MaxOrdered)))
+		require.True(t, a.Send("entry-2", bytes.Repeat([]byte("y"), MaxOrderedPayload)))
 	}
 	require.True(t, a.Send("entry-2", bytes.Repeat([]byte("z"), 1<<20)))
 	require.NoError(t, a.Close(context.Background()))
@@ -115,22 +115,22 @@
 
 func TestQueueIsBounded(t *testing.T) {
 	l := newLink(&Transport{}, nil, nil)
-	for range queueBytes / MaxOrdered {
-		require.True(t, l.enqueue(make([]byte, MaxOrdered)))
+	for range maxQueuedBytes / MaxOrderedPayload {
+		require.True(t, l.enqueue(make([]byte, MaxOrderedPayload)))
 	}
 	require.False(t, l.enqueue([]byte("x")))
 	l.stopSends()
 	require.False(t, l.enqueue(nil))
 }
 
-// failures is a slog.Handler that passes the messages of failed dials on.
+// failures is a slog.Handler that receives the log messages of failed dials.
 type failures chan string
 
 func (f failures) Enabled(context.Context, slog.Level) bool { return true }
 func (f failures) WithAttrs([]slog.Attr) slog.Handler       { return f }
 func (f failures) WithGroup(string) slog.Handler            { return f }
 func (f failures) Handle(_ context.Context, r slog.Record) error {
-	if r.Message == "peer not reached" {
+	if r.Message == "failed to connect to peer" {
 		f <- r.Message
 	}
 	return nil
@@ -153,7 +153,7 @@
 		name     string
 		identity Identity         // of the dialling side
 		self     model.InstanceID // in its hello
-		peer     model.InstanceID // that it means to reach
+		peer     model.InstanceID // that it dials
 	}{
 		{"wrong authority on both sides", issued(other, "entry-1"), "entry-1", "entry-2"},
 		{"wrong authority of the dialling side", mixed("entry-1"), "entry-1", "entry-2"},
@@ -167,7 +167,7 @@
 			a, ra := listen(t, ca, "entry-1", func(c *Config) {
 				c.Self, c.TLS, c.Logger = tt.self, tt.identity, slog.New(failed)
 			})
-			a.SetPeers(at(tt.peer, b.Addr()))
+			a.SetPeers(peerAt(tt.peer, b.Addr()))
 			<-failed
 			<-failed
 			require.Empty(t, ra.up)
@@ -182,7 +182,7 @@
 	a, ra := listen(t, ca, "entry-1", nil)
 	b, _ := listen(t, ca, "entry-2", nil)
 	addr := b.Addr()
-	a.SetPeers(at("entry-2", addr))
+	a.SetPeers(peerAt("entry-2", addr))
 	require.Equal(t, model.Incarnation(7), <-ra.up)
 	closeNow(b)
 	require.Equal(t, model.Incarnation(7), <-ra.down)
@@ -194,115 +194,119 @@
 	require.Equal(t, model.Incarnation(8), <-ra.down)
 }
 
-// relay forwards datagrams between callers and one target. It can stop
-// forwarding the flows that it knows while it lets new ones pass.
+// relay forwards datagrams between clients and one target. It can drop the
+// datagrams of existing clients while it forwards those of new ones. The maps are
+// keyed by the client's address.
 type relay struct {
-	front  *net.UDPConn
-	target *net.UDPAddr
-	mu     sync.Mutex
-	flows  map[string]*net.UDPConn
-	silent map[string]bool
-	bytes  atomic.Int64 // forwarded both ways, without headers of UDP and IP
-	count  atomic.Int64 // datagrams
+	frontSocket        *net.UDPConn
+	target             *net.UDPAddr
+	mu                 sync.Mutex
+	upstreams          map[string]*net.UDPConn
+	blocked            map[string]bool
+	forwardedBytes     atomic.Int64 // in both directions, without UDP and IP headers
+	forwardedDatagrams atomic.Int64
 }
 
-func (r *relay) passed(n int) {
-	r.bytes.Add(int64(n))
-	r.count.Add(1)
+func (r *relay) countDatagram(n int) {
+	r.forwardedBytes.Add(int64(n))
+	r.forwardedDatagrams.Add(1)
 }
 
 func newRelay(t testing.TB, target string) *relay {
 	t.Helper()
 	addr, err := net.ResolveUDPAddr("udp", target)
 	require.NoError(t, err)
-	front, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	frontSocket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
-	r := &relay{front: front, target: addr, flows: make(map[string]*net.UDPConn), silent: make(map[string]bool)}
-	go r.run()
+	r := &relay{frontSocket: frontSocket, target: addr, upstreams: make(map[string]*net.UDPConn), blocked: make(map[string]bool)}
+	go r.forwardRequests()
 	t.Cleanup(r.close)
 	return r
 }
 
 func (r *relay) close() {
-	_ = r.front.Close()
+	_ = r.frontSocket.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, back := range r.flows {
-		_ = back.Close()
+	for _, upstream := range r.upstreams {
+		_ = upstream.Close()
 	}
 }
 
-func (r *relay) run() {
+func (r *relay) forwardRequests() {
 	buf := make([]byte, 1<<16)
 	for {
-		n, from, err := r.front.ReadFromUDP(buf)
+		n, from, err := r.frontSocket.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		if back := r.flow(from); back != nil {
-			r.passed(n)
-			_, _ = back.Write(buf[:n])
+		if upstream := r.upstream(from); upstream != nil {
+			r.countDatagram(n)
+			_, _ = upstream.Write(buf[:n])
 		}
 	}
 }
 
-// flow returns the socket towards the target, nil for a silent flow.
-func (r *relay) flow(from *net.UDPAddr) *net.UDPConn {
+// upstream returns the client's socket to the target, or nil for a blocked client.
+func (r *relay) upstream(from *net.UDPAddr) *net.UDPConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := from.String()
-	if r.silent[key] {
+	if r.blocked[key] {
 		return nil
 	}
-	if r.flows[key] == nil {
-		back, err := net.DialUDP("udp", nil, r.target)
+	if r.upstreams[key] == nil {
+		upstream, err := net.DialUDP("udp", nil, r.target)
 		if err != nil {
 			return nil
 		}
-		r.flows[key] = back
-		go r.backwards(back, from)
+		r.upstreams[key] = upstream
+		go r.forwardReplies(upstream, from)
 	}
-	return r.flows[key]
+	return r.upstreams[key]
 }
 
-func (r *relay) backwards(back *net.UDPConn, to *net.UDPAddr) {
+func (r *relay) forwardReplies(upstream *net.UDPConn, to *net.UDPAddr) {
 	buf := make([]byte, 1<<16)
 	for {
-		n, err := back.Read(buf)
+		n, err := upstream.Read(buf)
 		if err != nil {
 			return
 		}
 		r.mu.Lock()
-		drop := r.silent[to.String()]
+		drop := r.blocked[to.String()]
 		r.mu.Unlock()
 		if !drop {
-			r.passed(n)
-			_, _ = r.front.WriteToUDP(buf[:n], to)
+			r.countDatagram(n)
+			_, _ = r.frontSocket.WriteToUDP(buf[:n], to)
 		}
 	}
 }
 
-func (r *relay) silence() {
+// blockExisting drops all further datagrams from and to the present clients.
+func (r *relay) blockExisting() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for key := range r.flows {
-		r.silent[key] = true
+	for key := range r.upstreams {
+		r.blocked[key] = true
 	}
 }
 
-func TestSilentConnectionIsReplaced(t *testing.T) {
+// TestUnresponsiveConnectionIsReplaced guards against a transport that keeps
+// using a path on which datagrams are dropped without an error.
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	ca := devCA(t, "a")
 	b, rb := listen(t, ca, "entry-2", nil)
-	between := newRelay(t, b.Addr())
+	proxy := newRelay(t, b.Addr())
 	a, ra := listen(t, ca, "entry-1", func(c *Config) {
 		c.Heartbeat, c.DeadAfter = 50*time.Millisecond, time.Second
 	})
-	a.SetPeers(at("entry-2", between.front.LocalAddr().String()))
+	a.SetPeers(peerAt("entry-2", proxy.frontSocket.LocalAddr().String()))
 	<-ra.up
 	require.True(t, a.Send("entry-2", []byte("before")))
 	require.Equal(t, "before", string((<-rb.messages).payload))
 
-	between.silence()
+	proxy.blockExisting()
 	require.True(t, a.Send("entry-2", []byte("lost")))
 	<-ra.down
 	<-ra.up
@@ -310,47 +314,47 @@
 		<-ra.up
 	}
 	require.Equal(t, "after", string((<-rb.messages).payload))
-	require.Positive(t, a.stats.silent.Count())
+	require.Positive(t, a.stats.heartbeatTimeouts.Count())
 }
 
 func TestHeartbeat(t *testing.T) {
 	start := time.Unix(0, 0)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	h := newHeartbeat(Config{Heartbeat: time.Second, IdleHeartbeat: 10 * time.Second, DeadAfter: 4 * time.Second}, start)
-	require.True(t, h.due(at(1), false), "first ping")
-	h.asked(at(1))
-	require.False(t, h.silent(at(2), 1))
-	require.False(t, h.due(at(2), false))
-	require.True(t, h.due(at(2), true), "payloads are under way")
-	h.asked(at(2))
+	require.True(t, h.pingDue(at(1), false), "first ping")
+	h.recordPing(at(1))
+	require.False(t, h.timedOut(at(2), 1))
+	require.False(t, h.pingDue(at(2), false))
+	require.True(t, h.pingDue(at(2), true), "payloads are being sent")
+	h.recordPing(at(2))
 	for s := 3; s <= 6; s++ {
-		require.False(t, h.silent(at(s), 1), s)
+		require.False(t, h.timedOut(at(s), 1), s)
 	}
-	require.False(t, h.silent(at(12), 1), "own pause")
+	require.False(t, h.timedOut(at(12), 1), "pause of this process")
 	for s := 13; s <= 16; s++ {
-		require.False(t, h.silent(at(s), 1), s)
+		require.False(t, h.timedOut(at(s), 1), s)
 	}
-	require.True(t, h.silent(at(17), 1))
+	require.True(t, h.timedOut(at(17), 1))
 }
 
 func TestNewerConnectionReplacesOlder(t *testing.T) {
 	ca := devCA(t, "a")
 	b, rb := listen(t, ca, "entry-2", nil)
-	older, up := listen(t, ca, "entry-1", nil)
-	older.SetPeers(at("entry-2", b.Addr()))
-	<-up.up
-	newer, newerUp := listen(t, ca, "entry-1", func(c *Config) { c.Incarnation = 8 })
-	newer.SetPeers(at("entry-2", b.Addr()))
-	<-newerUp.up
-	<-up.down
-	older.SetPeers(nil) // it may have replaced the newer one again by now
+	older, olderEvents := listen(t, ca, "entry-1", nil)
+	older.SetPeers(peerAt("entry-2", b.Addr()))
+	<-olderEvents.up
+	newer, newerEvents := listen(t, ca, "entry-1", func(c *Config) { c.Incarnation = 8 })
+	newer.SetPeers(peerAt("entry-2", b.Addr()))
+	<-newerEvents.up
+	<-olderEvents.down
+	older.SetPeers(nil) // it may have reconnected and replaced the newer one
 	for {
 		newer.Send("entry-2", []byte("x"))
 		select {
 		case m := <-rb.messages:
 			require.Equal(t, model.Incarnation(8), m.inc)
 			return
-		case <-newerUp.up:
+		case <-newerEvents.up:
 		}
 	}
 }
@@ -358,8 +362,8 @@
 func TestDelayedHelloIsRefused(t *testing.T) {
 	b, _ := listen(t, devCA(t, "a"), "entry-2", nil)
 	current := &inbound{t: b, peer: hello{Instance: "entry-1", Incarnation: 7, Serial: 5}}
-	require.NoError(t, b.admit(current))
-	require.Error(t, b.admit(&inbound{t: b, peer: hello{Instance: "entry-1", Incarnation: 7, Serial: 4}}))
-	b.forget(current)
+	require.NoError(t, b.register(current))
+	require.Error(t, b.register(&inbound{t: b, peer: hello{Instance: "entry-1", Incarnation: 7, Serial: 4}}))
+	b.unregister(current)
 	require.Empty(t, b.inbound)
 }
