--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,6 @@
-// Package platform defines the ports to the platform: the log service, the
-// instance list and the workers. docs/PLATFORM.md states what each port assumes.
+// Package platform defines the interfaces to the platform: the log service, the
+// instance list and the workers. docs/PLATFORM.md states the assumptions about
+// each of them.
 package platform
 
 import (
@@ -12,11 +13,12 @@
 // Log is the platform's append-only log service. One entry may hold a batch of
 // records.
 type Log interface {
-	// Append adds one entry to a stream and returns its offset. An error with
-	// verdict.NotRun means it was not added; any other error leaves that open.
+	// Append adds one entry to a stream and returns its offset. After an error
+	// with verdict.NotRun the entry was not added; after any other error that is
+	// unknown.
 	Append(ctx context.Context, stream string, entry []byte) (offset uint64, err error)
-	// Read returns entries from offset on, at most limit of them. It waits up
-	// to wait for the first one.
+	// Read returns at most limit entries, beginning with the offset from. When
+	// there are none it waits for the first one, for at most wait.
 	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (Batch, error)
 }
 
@@ -26,15 +28,15 @@
 	Data   []byte `json:"data"`
 }
 
-// Batch is the answer to a read. Oldest is the first offset still kept; Next is
-// the offset that the next append will get.
+// Batch is the answer to a read. Oldest is the lowest offset that is retained;
+// Next is the offset that the next appended entry will get.
 type Batch struct {
 	Entries []Entry `json:"entries"`
 	Oldest  uint64  `json:"oldest"`
 	Next    uint64  `json:"next"`
 }
 
-// Instance is one of the system's own instances as the platform lists it.
+// Instance describes one instance of this system in the platform's list.
 type Instance struct {
 	ID          model.InstanceID  `json:"id"`
 	Incarnation model.Incarnation `json:"incarnation,omitempty"`
@@ -44,43 +46,45 @@
 	Leaving     bool              `json:"leaving,omitempty"`
 }
 
-// Listing is one view of the instance list. It may lag behind the truth.
+// Listing is a snapshot of the instance list. It may be stale.
 type Listing struct {
 	Version   uint64         `json:"version"`
 	Instances []Instance     `json:"instances"`
 	Workers   []model.Worker `json:"workers"`
 }
 
-// InstanceList is the platform's list of live and leaving instances.
+// InstanceList is the platform's list of live and leaving instances and workers.
 type InstanceList interface {
+	// List returns the current listing.
 	List(ctx context.Context) (Listing, error)
 }
 
-// LeaseRef names a worker lease: its holder and the holder's term. Terms of one
-// worker only grow.
+// LeaseRef identifies a worker lease by its holder, the holder's incarnation and
+// the term. The terms of one worker never decrease.
 type LeaseRef struct {
 	Holder      model.InstanceID  `json:"holder"`
 	Incarnation model.Incarnation `json:"incarnation"`
 	Term        uint64            `json:"term"`
 }
 
-// RenewRequest takes or renews a worker's lease and asks for events. The answer
-// is held until there is an event after Since, or for Wait at most.
+// RenewRequest acquires or renews a worker's lease and asks for events. The worker
+// delays its answer until there is an event after Since, for at most Wait.
 type RenewRequest struct {
 	Lease    LeaseRef      `json:"lease"`
 	Duration time.Duration `json:"duration"`
-	// Full asks for the complete state instead of events since Since. It also
-	// fences: starts with a Seq at or below Fence that arrive later are refused.
+	// Full asks for the complete state instead of the events after Since. It also
+	// sets a fence: the worker refuses starts that arrive later with a Seq of at
+	// most Fence.
 	Full  bool          `json:"full,omitempty"`
 	Fence uint64        `json:"fence,omitempty"`
 	Since uint64        `json:"since"`
 	Wait  time.Duration `json:"wait"`
-	// Release gives the lease up; the answer reports Granted false.
+	// Release releases the lease. The answer then has Granted false.
 	Release bool `json:"release,omitempty"`
 }
 
-// RenewReply answers a RenewRequest. When Granted is false, Current names the
-// holder and nothing else is set.
+// RenewReply answers a RenewRequest. When Granted is false, only Current is set;
+// it identifies the lease holder.
 type RenewReply struct {
 	Granted     bool              `json:"granted"`
 	Current     LeaseRef          `json:"current"`
@@ -88,15 +92,16 @@
 	Uptime      time.Duration     `json:"uptime"`      // since this incarnation began
 	Seq         uint64            `json:"seq"`         // of the last event
 	Running     []model.Task      `json:"running,omitempty"`
-	// Finished holds outcomes after Since, or all that are kept when Full.
+	// Finished holds the outcomes after Since, or all retained ones when Full.
 	Finished []model.Outcome `json:"finished,omitempty"`
 	// Seen holds, when Full, the ids of all tasks started within Retention.
-	Seen      []model.TaskID `json:"seen,omitempty"`
-	Retention time.Duration  `json:"retention,omitempty"`
+	Seen []model.TaskID `json:"seen,omitempty"`
+	// Retention is how long the worker keeps outcomes and ids of ended tasks.
+	Retention time.Duration `json:"retention,omitempty"`
 }
 
-// StartRequest starts a task. Seq grows with every command under one lease. A
-// task id that the worker has seen is never started again.
+// StartRequest starts a task. Seq increases with every command under one lease.
+// The worker never starts a task again whose id it has seen.
 type StartRequest struct {
 	Lease LeaseRef   `json:"lease"`
 	Seq   uint64     `json:"seq"`
@@ -106,25 +111,27 @@
 	WorkerIncarnation model.Incarnation `json:"worker_incarnation,omitempty"`
 }
 
-// StopMode says how a task is stopped.
+// StopMode selects how a task is stopped.
 type StopMode string
 
 // Stop modes.
 const (
-	StopCheckpoint StopMode = "checkpoint"
-	StopKill       StopMode = "kill"
-	StopThrottle   StopMode = "throttle"
+	StopCheckpoint StopMode = "checkpoint" // write a checkpoint, then stop
+	StopKill       StopMode = "kill"       // stop at once
+	StopThrottle   StopMode = "throttle"   // run the task more slowly
 )
 
-// StopRequest stops or throttles a task. The task's end comes as an outcome.
+// StopRequest stops or throttles a task. The worker reports the end of the task
+// as an outcome.
 type StopRequest struct {
 	Lease LeaseRef     `json:"lease"`
 	Task  model.TaskID `json:"task"`
 	Mode  StopMode     `json:"mode"`
 }
 
-// Workers reaches workers. An error with verdict.NotRun means that the command
-// had no effect and will have none; any other error leaves that open.
+// Workers sends commands to workers. After an error with verdict.NotRun the
+// command has had no effect and will have none; after any other error that is
+// unknown.
 type Workers interface {
 	Renew(ctx context.Context, w model.Worker, r RenewRequest) (RenewReply, error)
 	Start(ctx context.Context, w model.Worker, r StartRequest) error
--- a/internal/platform/wire/wire.go
+++ b/internal/platform/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire defines the JSON bodies and paths that the platform's clients
-// and the stand-ins share.
+// Package wire defines the HTTP paths, query parameters and JSON bodies of the
+// platform's interfaces, for their clients and the stand-ins.
 package wire
 
 import (
@@ -10,18 +10,18 @@
 
 // Paths below a service's base URL. A worker's base URL is its Addr.
 const (
-	PathLog       = "/log/" // then the stream and PathAppend or PathRead
+	PathLog       = "/log/" // followed by the stream and PathAppend or PathRead
 	PathAppend    = "/append"
 	PathRead      = "/read"
 	PathList      = "/list"
 	PathInstances = "/list/instances"
-	PathWorkers   = "/workers/" // then the worker's id
+	PathWorkers   = "/workers/" // followed by the worker's id
 	PathRenew     = "/renew"
 	PathStart     = "/start"
 	PathStop      = "/stop"
 )
 
-// Query parameters of a log read.
+// Query parameters of a log read. ParamWait is in milliseconds.
 const (
 	ParamFrom  = "from"
 	ParamLimit = "limit"
@@ -38,8 +38,8 @@
 	Offset uint64 `json:"offset"`
 }
 
-// Ack is the answer to a command that has no other. It tells a complete answer
-// from a cut one.
+// Ack is the answer to a command that returns no data. OK distinguishes a
+// complete answer from a truncated one.
 type Ack struct {
 	OK bool `json:"ok"`
 }
@@ -52,7 +52,7 @@
 	RetryAfter time.Duration   `json:"retry_after,omitempty"`
 }
 
-// NewRefusal returns the body for e.
+// NewRefusal returns the refusal that carries e.
 func NewRefusal(e *verdict.Error) Refusal {
 	return Refusal{Verdict: e.Verdict, Code: e.Code, Message: e.Message, RetryAfter: e.RetryAfter}
 }
