--- a/internal/platform/httpclient/body.go
+++ b/internal/platform/httpclient/body.go
@@ -12,16 +12,16 @@
 
 var errSealed = errors.New("request abandoned before it was sent")
 
-// States of a body.
+// States of a request body.
 const (
 	bodyUnread int32 = iota
-	bodyRead         // some of it may have been sent
-	bodySealed       // nothing of it was sent or ever will be
+	bodyRead         // parts of it may have been sent
+	bodySealed       // no part of it was or will be sent
 )
 
-// body is the body of a command. It decides, without a race against the
-// transport's writer, whether any of it may have been sent: the first read and
-// seal exclude each other. Without its body, a command has no effect.
+// body is the body of a command. It records, without a race against the HTTP
+// transport's writer, whether any part of it may have been sent: the first read
+// and seal exclude each other. Without its body, a command has no effect.
 type body struct {
 	data  []byte
 	state atomic.Int32
@@ -29,30 +29,33 @@
 
 func newBody(data []byte) *body { return &body{data: data} }
 
-// seal reports whether nothing was sent, and makes sure that nothing will be.
+// seal reports whether no part of the body was sent. If so, it prevents any later
+// read.
 func (b *body) seal() bool {
 	return b.state.CompareAndSwap(bodyUnread, bodySealed) || b.state.Load() == bodySealed
 }
 
+// request returns a POST request with this body.
 func (b *body) request(ctx context.Context, url string) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, b.reader())
 	if err != nil {
 		return nil, err
 	}
 	req.ContentLength = int64(len(b.data))
-	// The transport asks for another reader only when nothing was written.
+	// The HTTP transport requests another reader only when nothing was written.
 	req.GetBody = func() (io.ReadCloser, error) { return b.reader(), nil }
 	req.Header.Set("Content-Type", "application/json")
 	return req, nil
 }
 
 func (b *body) reader() io.ReadCloser {
-	return &bodyReader{body: b, rest: bytes.NewReader(b.data)}
+	return &bodyReader{body: b, remaining: bytes.NewReader(b.data)}
 }
 
+// bodyReader reads a body and marks it as read.
 type bodyReader struct {
-	body *body
-	rest *bytes.Reader
+	body      *body
+	remaining *bytes.Reader
 }
 
 // Read implements io.Reader.
@@ -61,7 +64,7 @@
 	if r.body.state.Load() == bodySealed {
 		return 0, errSealed
 	}
-	return r.rest.Read(p)
+	return r.remaining.Read(p)
 }
 
 // Close implements io.Closer.
--- a/internal/platform/httpclient/body_test.go
+++ b/internal/platform/httpclient/body_test.go
@@ -9,10 +9,10 @@
 
 func TestSealExcludesRead(t *testing.T) {
 	sealed := newBody([]byte("x"))
-	late := sealed.reader()
+	lateReader := sealed.reader()
 	require.True(t, sealed.seal())
 	require.True(t, sealed.seal())
-	_, err := io.ReadAll(late)
+	_, err := io.ReadAll(lateReader)
 	require.ErrorIs(t, err, errSealed)
 
 	read := newBody([]byte("x"))
@@ -21,6 +21,6 @@
 	require.Equal(t, "x", string(data))
 	require.False(t, read.seal())
 	data, err = io.ReadAll(read.reader())
-	require.NoError(t, err, "the transport may read again")
+	require.NoError(t, err, "the HTTP transport may read again")
 	require.Equal(t, "x", string(data))
 }
--- a/internal/platform/httpclient/client_test.go
+++ b/internal/platform/httpclient/client_test.go
@@ -20,12 +20,12 @@
 	"pollenbend/internal/verdict"
 )
 
-// shortTimeout is the timeout of a call that gets no answer.
+// shortTimeout is the timeout of a call that will get no answer.
 const shortTimeout = 10 * time.Millisecond
 
 var ref = platform.LeaseRef{Holder: "a", Incarnation: 1, Term: 1}
 
-func start(t *testing.T) (*standin.Platform, string) {
+func startPlatform(t *testing.T) (*standin.Platform, string) {
 	t.Helper()
 	p, baseURL, err := standin.Start(t.Context(), "127.0.0.1:0", standin.Config{
 		Workers: []model.Worker{{ID: "w", Capacity: model.Resources{Slots: 2}}},
@@ -34,7 +34,7 @@
 	return p, baseURL
 }
 
-func worker(t *testing.T, baseURL string) model.Worker {
+func listedWorker(t *testing.T, baseURL string) model.Worker {
 	t.Helper()
 	list := httpclient.NewInstanceList(baseURL)
 	t.Cleanup(list.Close)
@@ -44,7 +44,7 @@
 	return l.Workers[0]
 }
 
-func workers(t *testing.T) *httpclient.Workers {
+func newWorkers(t *testing.T) *httpclient.Workers {
 	t.Helper()
 	c := httpclient.NewWorkers()
 	t.Cleanup(c.Close)
@@ -60,8 +60,8 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	_, baseURL := start(t)
-	w, c := worker(t, baseURL), workers(t)
+	_, baseURL := startPlatform(t)
+	w, c := listedWorker(t, baseURL), newWorkers(t)
 	r, err := c.Renew(t.Context(), w, platform.RenewRequest{Lease: ref, Duration: time.Minute, Full: true})
 	require.NoError(t, err)
 	require.True(t, r.Granted)
@@ -89,29 +89,29 @@
 		handler http.HandlerFunc
 		want    verdict.Verdict
 	}{
-		{"ok", reply(http.StatusOK, `{"ok":true}`), verdict.Done},
-		{"explicit refusal", reply(http.StatusConflict, `{"verdict":"not_run","code":"stale_authority"}`), verdict.NotRun},
-		{"refusal in doubt", reply(http.StatusConflict, `{"verdict":"may_have_run"}`), verdict.MayHaveRun},
-		{"refusal without verdict", reply(http.StatusConflict, `{}`), verdict.MayHaveRun},
-		{"foreign error page", reply(http.StatusBadGateway, `<html>`), verdict.MayHaveRun},
+		{"ok", respondWith(http.StatusOK, `{"ok":true}`), verdict.Done},
+		{"explicit refusal", respondWith(http.StatusConflict, `{"verdict":"not_run","code":"stale_authority"}`), verdict.NotRun},
+		{"refusal in doubt", respondWith(http.StatusConflict, `{"verdict":"may_have_run"}`), verdict.MayHaveRun},
+		{"refusal without verdict", respondWith(http.StatusConflict, `{}`), verdict.MayHaveRun},
+		{"foreign error page", respondWith(http.StatusBadGateway, `<html>`), verdict.MayHaveRun},
 		{"redirect", redirect, verdict.MayHaveRun},
-		{"error that says done", reply(http.StatusConflict, `{"verdict":"done"}`), verdict.MayHaveRun},
-		{"empty acknowledgement", reply(http.StatusOK, `{}`), verdict.MayHaveRun},
-		{"broken acknowledgement", reply(http.StatusOK, `{"ok":`), verdict.MayHaveRun},
-		{"cut answer", cut, verdict.MayHaveRun},
+		{"error that says done", respondWith(http.StatusConflict, `{"verdict":"done"}`), verdict.MayHaveRun},
+		{"empty acknowledgement", respondWith(http.StatusOK, `{}`), verdict.MayHaveRun},
+		{"broken acknowledgement", respondWith(http.StatusOK, `{"ok":`), verdict.MayHaveRun},
+		{"cut answer", sendTruncated, verdict.MayHaveRun},
 		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, verdict.MayHaveRun},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			s := httptest.NewServer(tc.handler)
 			defer s.Close()
-			err := workers(t).Start(t.Context(), model.Worker{ID: "w", Addr: s.URL}, startRequest("t", 1))
+			err := newWorkers(t).Start(t.Context(), model.Worker{ID: "w", Addr: s.URL}, startRequest("t", 1))
 			require.Equal(t, tc.want, verdict.Of(err), "%v", err)
 		})
 	}
 }
 
-func reply(status int, body string) http.HandlerFunc {
+func respondWith(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = io.WriteString(w, body)
@@ -126,7 +126,7 @@
 	http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
 }
 
-func cut(w http.ResponseWriter, _ *http.Request) {
+func sendTruncated(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Length", "100")
 	_, _ = io.WriteString(w, `{"ok":true}`)
 }
@@ -136,35 +136,37 @@
 	require.NoError(t, err)
 	require.NoError(t, l.Close())
 	w := model.Worker{ID: "w", Addr: "http://" + l.Addr().String()}
-	require.Equal(t, verdict.NotRun, verdict.Of(workers(t).Start(t.Context(), w, startRequest("t", 1))))
+	require.Equal(t, verdict.NotRun, verdict.Of(newWorkers(t).Start(t.Context(), w, startRequest("t", 1))))
 }
 
 func TestCanceledBeforeSendingIsNotRun(t *testing.T) {
-	_, baseURL := start(t)
-	w := worker(t, baseURL)
+	_, baseURL := startPlatform(t)
+	w := listedWorker(t, baseURL)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.Equal(t, verdict.NotRun, verdict.Of(workers(t).Start(ctx, w, startRequest("t", 1))))
+	require.Equal(t, verdict.NotRun, verdict.Of(newWorkers(t).Start(ctx, w, startRequest("t", 1))))
 }
 
-// untilWritten returns a context that ends when its request is written.
-func untilWritten(t *testing.T) context.Context {
+// canceledOnceWritten returns a context that is canceled when its request has
+// been written.
+func canceledOnceWritten(t *testing.T) context.Context {
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	trace := &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) { cancel() }}
 	return httptrace.WithClientTrace(ctx, trace)
 }
 
-// TestSilentListener has a listener that accepts, reads and never answers.
-func TestSilentListener(t *testing.T) {
+// TestUnresponsiveListener guards against reusing a connection on which a call
+// timed out. The listener accepts and reads but never answers.
+func TestUnresponsiveListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
 	var closed atomic.Int32
-	go acceptSilently(l, &closed)
-	w, c := model.Worker{ID: "w", Addr: "http://" + l.Addr().String()}, workers(t)
+	go acceptWithoutReply(l, &closed)
+	w, c := model.Worker{ID: "w", Addr: "http://" + l.Addr().String()}, newWorkers(t)
 	for range 3 {
-		err := c.Start(untilWritten(t), w, startRequest("t", 1))
+		err := c.Start(canceledOnceWritten(t), w, startRequest("t", 1))
 		require.Equal(t, verdict.MayHaveRun, verdict.Of(err))
 		require.ErrorIs(t, err, context.Canceled)
 	}
@@ -172,10 +174,10 @@
 	defer cancel()
 	require.Error(t, c.Start(ctx, w, startRequest("t", 1)))
 	closedAll := func() bool { return closed.Load() >= 3 }
-	require.Eventually(t, closedAll, time.Minute, time.Millisecond, "a silent connection was used again")
+	require.Eventually(t, closedAll, time.Minute, time.Millisecond, "an unresponsive connection was reused")
 }
 
-func acceptSilently(l net.Listener, closed *atomic.Int32) {
+func acceptWithoutReply(l net.Listener, closed *atomic.Int32) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -189,32 +191,33 @@
 	}
 }
 
-// TestSilencedConnection has a connection that worked go silent while new ones work.
-func TestSilencedConnection(t *testing.T) {
-	p, baseURL := start(t)
-	w, c := worker(t, baseURL), workers(t)
+// TestConnectionThatStopsResponding guards against waiting on a connection that
+// worked before and stopped responding, while new connections work.
+func TestConnectionThatStopsResponding(t *testing.T) {
+	p, baseURL := startPlatform(t)
+	w, c := listedWorker(t, baseURL), newWorkers(t)
 	renew := platform.RenewRequest{Lease: ref, Duration: time.Minute}
 	_, err := c.Renew(t.Context(), w, renew)
 	require.NoError(t, err)
 	require.True(t, p.Inject(standin.Fault{Silence: "/workers/w"}))
-	require.Equal(t, verdict.MayHaveRun, verdict.Of(c.Start(untilWritten(t), w, startRequest("t", 1))))
+	require.Equal(t, verdict.MayHaveRun, verdict.Of(c.Start(canceledOnceWritten(t), w, startRequest("t", 1))))
 	require.NoError(t, c.Start(t.Context(), w, startRequest("t", 1)), "a new connection works")
 }
 
 func TestFaultsOverHTTP(t *testing.T) {
-	p, baseURL := start(t)
-	w, c := worker(t, baseURL), workers(t)
+	p, baseURL := startPlatform(t)
+	w, c := listedWorker(t, baseURL), newWorkers(t)
 	_, err := c.Renew(t.Context(), w, platform.RenewRequest{Lease: ref, Duration: time.Minute, Full: true, Fence: 5})
 	require.NoError(t, err)
 	require.Equal(t, verdict.NotRun, verdict.Of(c.Start(t.Context(), w, startRequest("fenced", 5))))
 
-	inject(p, standin.WorkerFaults{LoseStartAnswer: true})
+	injectWorkerFaults(p, standin.WorkerFaults{LoseStartAnswer: true})
 	require.Equal(t, verdict.MayHaveRun, verdict.Of(c.Start(t.Context(), w, startRequest("lost", 6))))
-	inject(p, standin.WorkerFaults{Unreachable: true})
+	injectWorkerFaults(p, standin.WorkerFaults{Unreachable: true})
 	require.Equal(t, verdict.MayHaveRun, verdict.Of(c.Start(t.Context(), w, startRequest("unreachable", 7))))
 	for _, f := range []standin.WorkerFaults{{Paused: true}, {Silent: true}} {
-		inject(p, f)
-		require.Equal(t, verdict.MayHaveRun, verdict.Of(c.Start(untilWritten(t), w, startRequest("held", 8))))
+		injectWorkerFaults(p, f)
+		require.Equal(t, verdict.MayHaveRun, verdict.Of(c.Start(canceledOnceWritten(t), w, startRequest("held", 8))))
 	}
 
 	l := httpclient.NewLog(baseURL)
@@ -228,9 +231,9 @@
 	require.True(t, p.Inject(standin.Fault{Log: &standin.LogFaults{}}))
 	b, err := l.Read(t.Context(), "s", 1, 10, 0)
 	require.NoError(t, err)
-	require.Len(t, b.Entries, 1, "the lost answer's entry is there, the refused one's is not")
+	require.Len(t, b.Entries, 1, "the entry whose answer was lost is stored, the refused one is not")
 }
 
-func inject(p *standin.Platform, f standin.WorkerFaults) {
+func injectWorkerFaults(p *standin.Platform, f standin.WorkerFaults) {
 	p.Inject(standin.Fault{Worker: &standin.WorkerFault{ID: "w", Faults: f}})
 }
--- a/internal/platform/httpclient/list.go
+++ b/internal/platform/httpclient/list.go
@@ -7,8 +7,8 @@
 	"pollenbend/internal/platform/wire"
 )
 
-// listConns bounds the connections to the instance list.
-const listConns = 2
+// maxListConns is the maximum number of connections to the instance list.
+const maxListConns = 2
 
 // InstanceList implements platform.InstanceList.
 type InstanceList struct {
@@ -18,9 +18,9 @@
 
 var _ platform.InstanceList = (*InstanceList)(nil)
 
-// NewInstanceList returns a client to the instance list at baseURL.
+// NewInstanceList returns a client of the instance list at baseURL.
 func NewInstanceList(baseURL string) *InstanceList {
-	return &InstanceList{url: baseURL + wire.PathList, client: newClient(listConns)}
+	return &InstanceList{url: baseURL + wire.PathList, client: newClient(maxListConns)}
 }
 
 // List implements platform.InstanceList.
--- a/internal/platform/httpclient/log.go
+++ b/internal/platform/httpclient/log.go
@@ -10,8 +10,9 @@
 	"pollenbend/internal/platform/wire"
 )
 
-// logConns bounds the connections to the log, long polls included.
-const logConns = 32
+// maxLogConns is the maximum number of connections to the log, including those
+// that long polls occupy.
+const maxLogConns = 32
 
 // Log implements platform.Log.
 type Log struct {
@@ -21,9 +22,9 @@
 
 var _ platform.Log = (*Log)(nil)
 
-// NewLog returns a client to the log at baseURL.
+// NewLog returns a client of the log at baseURL.
 func NewLog(baseURL string) *Log {
-	return &Log{base: baseURL + wire.PathLog, client: newClient(logConns)}
+	return &Log{base: baseURL + wire.PathLog, client: newClient(maxLogConns)}
 }
 
 // Append implements platform.Log.
--- a/internal/platform/httpclient/workers.go
+++ b/internal/platform/httpclient/workers.go
@@ -13,34 +13,35 @@
 )
 
 const (
-	// WorkerConns bounds the connections to one worker, the renewal's included.
-	WorkerConns = 4
-	// workerIdle is how long the client of a worker without calls is kept.
-	workerIdle = 10 * time.Minute
+	// MaxWorkerConns is the maximum number of connections to one worker,
+	// including the one that a renewal occupies.
+	MaxWorkerConns = 4
+	// workerIdleTimeout is how long the client of a worker without calls is kept.
+	workerIdleTimeout = 10 * time.Minute
 )
 
-// errIncomplete reports an answer that lacks what every answer has.
+// errIncomplete reports an answer without a field that every complete answer sets.
 var errIncomplete = errors.New("incomplete answer")
 
 // Workers implements platform.Workers.
 type Workers struct {
-	mu      sync.Mutex
-	clients map[model.WorkerID]*workerClient
-	swept   time.Time
+	mu        sync.Mutex
+	clients   map[model.WorkerID]*workerClient
+	lastSweep time.Time
 }
 
-// workerClient is the client of one worker. Each worker has its own, so that
-// none takes another's connections.
+// workerClient is the client of one worker. Each worker has its own client, so
+// that calls to one worker cannot use up the connections to another.
 type workerClient struct {
 	*client
-	used time.Time
+	lastUsed time.Time
 }
 
 var _ platform.Workers = (*Workers)(nil)
 
-// NewWorkers returns a client to all workers.
+// NewWorkers returns a client of all workers.
 func NewWorkers() *Workers {
-	return &Workers{clients: map[model.WorkerID]*workerClient{}, swept: time.Now()}
+	return &Workers{clients: map[model.WorkerID]*workerClient{}, lastSweep: time.Now()}
 }
 
 // Renew implements platform.Workers.
@@ -65,6 +66,7 @@
 	return s.command(ctx, w, wire.PathStop, r)
 }
 
+// command sends a command that is answered with a wire.Ack.
 func (s *Workers) command(ctx context.Context, w model.Worker, path string, r any) error {
 	var ack wire.Ack
 	if err := s.client(w.ID).post(ctx, 0, w.Addr+path, r, &ack); err != nil {
@@ -85,6 +87,7 @@
 	}
 }
 
+// client returns the client of a worker and creates it at the first call.
 func (s *Workers) client(id model.WorkerID) *client {
 	now := time.Now()
 	s.mu.Lock()
@@ -92,21 +95,22 @@
 	s.sweep(now)
 	c, ok := s.clients[id]
 	if !ok {
-		c = &workerClient{client: newClient(WorkerConns)}
+		c = &workerClient{client: newClient(MaxWorkerConns)}
 		s.clients[id] = c
 	}
-	c.used = now
+	c.lastUsed = now
 	return c.client
 }
 
-// sweep drops the clients of workers without calls.
+// sweep removes the clients of workers that had no call for workerIdleTimeout.
+// The caller holds s.mu.
 func (s *Workers) sweep(now time.Time) {
-	if now.Sub(s.swept) < workerIdle {
+	if now.Sub(s.lastSweep) < workerIdleTimeout {
 		return
 	}
-	s.swept = now
+	s.lastSweep = now
 	for id, c := range s.clients {
-		if now.Sub(c.used) >= workerIdle {
+		if now.Sub(c.lastUsed) >= workerIdleTimeout {
 			c.close()
 			delete(s.clients, id)
 		}
