--- a/internal/standin/handler.go
+++ b/internal/standin/handler.go
@@ -15,10 +15,10 @@
 	"pollenbend/internal/verdict"
 )
 
-// bodyLimit bounds the body of a request, in bytes.
-const bodyLimit = 16 << 20
+// maxBodyBytes is the maximum size of a request's body, in bytes.
+const maxBodyBytes = 16 << 20
 
-// Handler returns the HTTP interface of all stand-ins.
+// Handler returns the HTTP handler of the platform.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /log/{stream}/append", p.handleAppend)
@@ -39,7 +39,7 @@
 }
 
 func (p *Platform) handleAppend(w http.ResponseWriter, r *http.Request) {
-	reach(r.Context(), "/log")
+	recordService(r.Context(), "/log")
 	var req wire.AppendRequest
 	if !decode(w, r, &req) {
 		return
@@ -49,7 +49,7 @@
 }
 
 func (p *Platform) handleRead(w http.ResponseWriter, r *http.Request) {
-	reach(r.Context(), "/log")
+	recordService(r.Context(), "/log")
 	q := r.URL.Query()
 	from, err1 := strconv.ParseUint(q.Get(wire.ParamFrom), 10, 64)
 	limit, err2 := strconv.Atoi(q.Get(wire.ParamLimit))
@@ -63,7 +63,7 @@
 }
 
 func (p *Platform) handleList(w http.ResponseWriter, r *http.Request) {
-	reach(r.Context(), "/list")
+	recordService(r.Context(), "/list")
 	l, err := p.List.List(r.Context())
 	respond(w, l, err)
 }
@@ -118,7 +118,7 @@
 	if !decode(w, r, &req) {
 		return
 	}
-	reply, err := p.Workers.Renew(r.Context(), target(r), req)
+	reply, err := p.Workers.Renew(r.Context(), targetWorker(r), req)
 	respond(w, reply, err)
 }
 
@@ -127,7 +127,7 @@
 	if !decode(w, r, &req) {
 		return
 	}
-	err := p.Workers.Start(r.Context(), target(r), req)
+	err := p.Workers.Start(r.Context(), targetWorker(r), req)
 	respond(w, wire.Ack{OK: true}, err)
 }
 
@@ -136,7 +136,7 @@
 	if !decode(w, r, &req) {
 		return
 	}
-	err := p.Workers.Stop(r.Context(), target(r), req)
+	err := p.Workers.Stop(r.Context(), targetWorker(r), req)
 	respond(w, wire.Ack{OK: true}, err)
 }
 
@@ -157,16 +157,18 @@
 	respond(w, p.History.Read(from), nil)
 }
 
-// target returns the worker that a command is for.
-func target(r *http.Request) model.Worker {
+// targetWorker returns the worker in the request's path.
+func targetWorker(r *http.Request) model.Worker {
 	id := r.PathValue("id")
-	reach(r.Context(), wire.PathWorkers+id)
+	recordService(r.Context(), wire.PathWorkers+id)
 	return model.Worker{ID: model.WorkerID(id)}
 }
 
-// decode reads the whole body, so that the server notices a client that leaves.
+// decode reads and decodes the body, and answers with a refusal when it cannot.
+// It reads the whole body, so that the server detects when the client
+// disconnects.
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyLimit))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
 		err = json.Unmarshal(body, v)
 	}
@@ -177,8 +179,8 @@
 	return true
 }
 
-// respond writes v or the refusal in err. Any other error breaks the connection
-// without an answer.
+// respond writes v, or the refusal that err contains. For any other error it
+// closes the connection without an answer.
 func respond(w http.ResponseWriter, v any, err error) {
 	var refusal *verdict.Error
 	switch {
@@ -192,10 +194,10 @@
 }
 
 func refuse(w http.ResponseWriter, e *verdict.Error) {
-	write(w, status(e.Code), wire.NewRefusal(e))
+	write(w, httpStatus(e.Code), wire.NewRefusal(e))
 }
 
-func status(code verdict.Code) int {
+func httpStatus(code verdict.Code) int {
 	switch code {
 	case verdict.CodeBadRequest:
 		return http.StatusBadRequest
@@ -217,6 +219,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	w.WriteHeader(status)
-	// The client finds a failed write by the length.
+	// The client detects a failed write by the Content-Length.
 	_, _ = w.Write(b)
 }
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -12,16 +12,16 @@
 
 // Kinds of history events.
 const (
-	EventStart      EventKind = "start"      // a task began to run
-	EventEnd        EventKind = "end"        // a task no longer runs
-	EventOvercommit EventKind = "overcommit" // a start was refused because it did not fit
-	EventStale      EventKind = "stale"      // a start was refused because its lease was not in force
+	EventStart      EventKind = "start"      // a task started
+	EventEnd        EventKind = "end"        // a task ended
+	EventOvercommit EventKind = "overcommit" // a start was refused for lack of free resources
+	EventStale      EventKind = "stale"      // a start was refused because of its lease, fence or incarnation
 	EventGrant      EventKind = "grant"      // a lease went to another holder or term
-	EventRestart    EventKind = "restart"    // a worker began a new incarnation
+	EventRestart    EventKind = "restart"    // a worker restarted with a new incarnation
 	EventLeaving    EventKind = "leaving"    // a worker was marked as leaving
 )
 
-// Event is one entry of the history: what a worker really did.
+// Event is one entry of the history, as it happened on the worker.
 type Event struct {
 	At          time.Time         `json:"at"`
 	Kind        EventKind         `json:"kind"`
@@ -35,10 +35,11 @@
 	Outcome     *model.Outcome    `json:"outcome,omitempty"` // of EventEnd
 }
 
-// historyLimit bounds the events that a History keeps.
-const historyLimit = 1 << 20
+// maxHistoryEvents is the maximum number of events that a History keeps. At the
+// maximum it drops the older half.
+const maxHistoryEvents = 1 << 20
 
-// History is the append-only record of what the workers did. It is safe for
+// History is an append-only record of the workers' events. It is safe for
 // concurrent use.
 type History struct {
 	mu      sync.Mutex
@@ -49,15 +50,15 @@
 // NewHistory returns an empty history.
 func NewHistory() *History { return &History{} }
 
-// HistoryPage is a part of a history. First is the index of the first event in
-// Events; Next is the index to ask for next.
+// HistoryPage is a range of a history. First is the index of the first event in
+// Events; Next is the index from which to read next.
 type HistoryPage struct {
 	First  int     `json:"first"`
 	Next   int     `json:"next"`
 	Events []Event `json:"events"`
 }
 
-// Read returns the kept events from index from on.
+// Read returns the retained events, beginning with the index from.
 func (h *History) Read(from int) HistoryPage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -73,7 +74,7 @@
 func (h *History) add(e Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.events) >= historyLimit {
+	if len(h.events) >= maxHistoryEvents {
 		half := len(h.events) / 2
 		h.events = append([]Event(nil), h.events[half:]...)
 		h.dropped += half
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -10,8 +10,8 @@
 	"pollenbend/internal/platform"
 )
 
-// ListCore is the state machine of the instance list. Its view lags behind the
-// changes. It does no I/O, takes the time as an argument and is not safe for
+// ListCore is the state machine of the instance list. Its listings show changes
+// after a lag. It does no I/O, takes the time as an argument and is not safe for
 // concurrent use.
 type ListCore struct {
 	lag       time.Duration
@@ -21,13 +21,13 @@
 	workers   map[model.WorkerID]model.Worker
 }
 
-// listChange takes effect in the view at visible.
+// listChange is a change that listings show from visibleAt on.
 type listChange struct {
-	visible time.Time
-	apply   func(*ListCore)
+	visibleAt time.Time
+	apply     func(*ListCore)
 }
 
-// NewListCore returns an empty list whose view lags by lag.
+// NewListCore returns an empty list that shows changes after lag.
 func NewListCore(lag time.Duration) *ListCore {
 	return &ListCore{
 		lag:       lag,
@@ -36,22 +36,23 @@
 	}
 }
 
-// SetLag sets the lag of the changes that follow. They never overtake earlier ones.
+// SetLag sets the lag of later changes. They never become visible before earlier
+// ones.
 func (c *ListCore) SetLag(lag time.Duration) { c.lag = lag }
 
 // PutInstance adds or replaces an instance.
 func (c *ListCore) PutInstance(now time.Time, i platform.Instance) {
-	c.change(now, func(c *ListCore) { c.instances[i.ID] = i })
+	c.addChange(now, func(c *ListCore) { c.instances[i.ID] = i })
 }
 
 // RemoveInstance removes an instance.
 func (c *ListCore) RemoveInstance(now time.Time, id model.InstanceID) {
-	c.change(now, func(c *ListCore) { delete(c.instances, id) })
+	c.addChange(now, func(c *ListCore) { delete(c.instances, id) })
 }
 
 // MarkInstanceLeaving marks an instance as leaving.
 func (c *ListCore) MarkInstanceLeaving(now time.Time, id model.InstanceID) {
-	c.change(now, func(c *ListCore) {
+	c.addChange(now, func(c *ListCore) {
 		if i, ok := c.instances[id]; ok {
 			i.Leaving = true
 			c.instances[id] = i
@@ -61,17 +62,17 @@
 
 // PutWorker adds or replaces a worker.
 func (c *ListCore) PutWorker(now time.Time, w model.Worker) {
-	c.change(now, func(c *ListCore) { c.workers[w.ID] = w })
+	c.addChange(now, func(c *ListCore) { c.workers[w.ID] = w })
 }
 
 // RemoveWorker removes a worker.
 func (c *ListCore) RemoveWorker(now time.Time, id model.WorkerID) {
-	c.change(now, func(c *ListCore) { delete(c.workers, id) })
+	c.addChange(now, func(c *ListCore) { delete(c.workers, id) })
 }
 
 // MarkWorkerLeaving marks a worker as leaving.
 func (c *ListCore) MarkWorkerLeaving(now time.Time, id model.WorkerID) {
-	c.change(now, func(c *ListCore) {
+	c.addChange(now, func(c *ListCore) {
 		if w, ok := c.workers[id]; ok {
 			w.Leaving = true
 			c.workers[id] = w
@@ -79,7 +80,7 @@
 	})
 }
 
-// List returns the view at now, in order of the ids.
+// List returns the listing at now, sorted by id.
 func (c *ListCore) List(now time.Time) platform.Listing {
 	c.advance(now)
 	return platform.Listing{
@@ -93,16 +94,16 @@
 	}
 }
 
-func (c *ListCore) change(now time.Time, apply func(*ListCore)) {
-	visible := now.Add(c.lag)
-	if n := len(c.pending); n > 0 && c.pending[n-1].visible.After(visible) {
-		visible = c.pending[n-1].visible
+func (c *ListCore) addChange(now time.Time, apply func(*ListCore)) {
+	visibleAt := now.Add(c.lag)
+	if n := len(c.pending); n > 0 && c.pending[n-1].visibleAt.After(visibleAt) {
+		visibleAt = c.pending[n-1].visibleAt
 	}
-	c.pending = append(c.pending, listChange{visible: visible, apply: apply})
+	c.pending = append(c.pending, listChange{visibleAt: visibleAt, apply: apply})
 }
 
 func (c *ListCore) advance(now time.Time) {
-	for len(c.pending) > 0 && !c.pending[0].visible.After(now) {
+	for len(c.pending) > 0 && !c.pending[0].visibleAt.After(now) {
 		c.pending[0].apply(c)
 		c.pending = c.pending[1:]
 		c.version++
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -10,39 +10,40 @@
 	"pollenbend/internal/verdict"
 )
 
-// ErrAnswerLost reports that a command took effect and its answer was lost.
+// ErrAnswerLost reports that a command took effect but its answer was lost.
 var ErrAnswerLost = errors.New("answer lost")
 
-// Defaults and bounds of the log.
+// Defaults and limits of the log.
 const (
-	// DefaultLogRate is the number of appends that the log takes in a second.
+	// DefaultLogRate is the number of appends that the log accepts per second.
 	DefaultLogRate = 500
-	// DefaultLogRetention is the number of entries kept in a stream.
+	// DefaultLogRetention is the number of entries retained in a stream.
 	DefaultLogRetention = 100_000
 
-	readLimit   = 1000 // entries in one batch
-	appendBurst = 50   // appends taken at once
-	retryAppend = 20 * time.Millisecond
+	maxReadEntries   = 1000                  // entries in one batch
+	appendBurst      = 50                    // appends accepted at once
+	appendRetryDelay = 20 * time.Millisecond // sent to the client when the rate is exceeded
 )
 
-// LogFaults are the scripted faults of the log.
+// LogFaults are the injected faults of the log.
 type LogFaults struct {
 	// Down refuses every append and read.
 	Down bool `json:"down,omitempty"`
-	// Slow delays every answer after the action took effect. It acts in Log.
+	// Slow delays every answer after the operation took effect. Log applies it,
+	// not LogCore.
 	Slow time.Duration `json:"slow,omitempty"`
-	// LoseAnswer lets appends take effect and loses their answers.
+	// LoseAnswer makes appends take effect but return ErrAnswerLost.
 	LoseAnswer bool `json:"lose_answer,omitempty"`
-	// Rate replaces the appends taken in a second when it is positive.
+	// Rate replaces the maximum appends per second when it is positive.
 	Rate float64 `json:"rate,omitempty"`
-	// Retention replaces the number of entries kept when it is positive.
+	// Retention replaces the number of retained entries when it is positive.
 	Retention int `json:"retention,omitempty"`
 }
 
-// LogSettings configures a LogCore. Zero fields take the defaults.
+// LogSettings configures a LogCore. Zero fields get defaults.
 type LogSettings struct {
-	Rate      float64 // appends a second
-	Retention int     // entries kept in a stream
+	Rate      float64 // maximum appends per second
+	Retention int     // entries retained in a stream
 }
 
 func (s LogSettings) withDefaults() LogSettings {
@@ -64,12 +65,14 @@
 	streams  map[string]*stream
 }
 
-// stream holds the entries from offset oldest on. Offsets begin at 1.
+// stream holds the retained entries of a stream. The first has the offset oldest;
+// offsets begin at 1.
 type stream struct {
 	oldest  uint64
 	entries []platform.Entry
 }
 
+// next returns the offset of the next appended entry.
 func (s *stream) next() uint64 { return s.oldest + uint64(len(s.entries)) }
 
 // NewLogCore returns an empty log.
@@ -99,13 +102,13 @@
 }
 
 // Append adds an entry and returns its offset. Its errors carry verdict.NotRun,
-// but for ErrAnswerLost.
+// except ErrAnswerLost.
 func (c *LogCore) Append(now time.Time, name string, data []byte) (uint64, error) {
-	if err := c.available(); err != nil {
+	if err := c.checkAvailable(); err != nil {
 		return 0, err
 	}
 	if !c.limiter.AllowN(now, 1) {
-		return 0, verdict.Refuse(verdict.CodeOverloaded, "log: append rate exceeded").After(retryAppend)
+		return 0, verdict.Refuse(verdict.CodeOverloaded, "log: append rate exceeded").After(appendRetryDelay)
 	}
 	s := c.stream(name)
 	offset := s.next()
@@ -120,10 +123,10 @@
 	return offset, nil
 }
 
-// Read returns at most limit entries from offset from on, or from the oldest
-// one when from is no longer kept.
+// Read returns at most limit entries, beginning with the offset from, or with the
+// oldest entry when from is no longer retained.
 func (c *LogCore) Read(name string, from uint64, limit int) (platform.Batch, error) {
-	if err := c.available(); err != nil {
+	if err := c.checkAvailable(); err != nil {
 		return platform.Batch{}, err
 	}
 	s := c.stream(name)
@@ -133,14 +136,14 @@
 		return b, nil
 	}
 	tail := s.entries[first-s.oldest:]
-	if limit <= 0 || limit > readLimit {
-		limit = readLimit
+	if limit <= 0 || limit > maxReadEntries {
+		limit = maxReadEntries
 	}
 	b.Entries = append(b.Entries, tail[:min(limit, len(tail))]...)
 	return b, nil
 }
 
-func (c *LogCore) available() error {
+func (c *LogCore) checkAvailable() error {
 	if c.faults.Down {
 		return verdict.Refuse(verdict.CodeUnavailable, "log: down")
 	}
@@ -156,12 +159,13 @@
 	return s
 }
 
+// trim removes the oldest entries that exceed the retention.
 func (c *LogCore) trim(s *stream) {
-	keep := c.settings.Retention
+	retention := c.settings.Retention
 	if c.faults.Retention > 0 {
-		keep = c.faults.Retention
+		retention = c.faults.Retention
 	}
-	excess := len(s.entries) - keep
+	excess := len(s.entries) - retention
 	if excess <= 0 {
 		return
 	}
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -12,7 +12,7 @@
 	"pollenbend/internal/platform/wire"
 )
 
-// headerTimeout bounds the wait for a request's header.
+// headerTimeout is the timeout for reading a request's header.
 const headerTimeout = 10 * time.Second
 
 // Serve runs a platform on listenAddr until ctx is done. It returns the base
@@ -22,13 +22,13 @@
 	return baseURL, err
 }
 
-// Start is like Serve and returns the platform too. The workers' addresses are
-// set from the listening address.
+// Start is like Serve and also returns the platform. It sets the workers'
+// addresses below the base URL.
 func Start(ctx context.Context, listenAddr string, cfg Config) (*Platform, string, error) {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", listenAddr)
 	if err != nil {
-		return nil, "", errors.Wrap(err, "stand-in platform")
+		return nil, "", errors.Wrap(err, "listen for the stand-in platform")
 	}
 	baseURL := "http://" + l.Addr().String()
 	cfg.Workers = withAddrs(baseURL, cfg.Workers)
@@ -39,7 +39,7 @@
 		ConnContext:       withConn,
 	}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
-	go func() { _ = server.Serve(gatedListener{Listener: l, owner: p.conns}) }()
+	go func() { _ = server.Serve(faultListener{Listener: l, owner: p.conns}) }()
 	return p, baseURL, nil
 }
 
--- a/internal/standin/services.go
+++ b/internal/standin/services.go
@@ -8,11 +8,11 @@
 	"pollenbend/internal/platform"
 )
 
-// Log runs a LogCore on the clock. It implements platform.Log in the process.
+// Log runs a LogCore in real time. It implements platform.Log in-process.
 type Log struct {
 	mu      sync.Mutex
 	core    *LogCore
-	changed chan struct{} // closed by the next append
+	changed chan struct{} // closed by the next append or change of faults
 }
 
 // NewLog returns an empty log.
@@ -25,17 +25,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.core.SetFaults(time.Now(), f)
-	l.wake()
+	l.notifyReaders()
 }
 
 // Append implements platform.Log.
 func (l *Log) Append(ctx context.Context, stream string, entry []byte) (uint64, error) {
 	l.mu.Lock()
 	offset, err := l.core.Append(time.Now(), stream, entry)
-	slow := l.core.Faults().Slow
-	l.wake()
+	delay := l.core.Faults().Slow
+	l.notifyReaders()
 	l.mu.Unlock()
-	if serr := sleep(ctx, slow); serr != nil {
+	if serr := sleep(ctx, delay); serr != nil {
 		return 0, serr
 	}
 	return offset, err
@@ -64,27 +64,29 @@
 	l.mu.Lock()
 	b, err := l.core.Read(stream, from, limit)
 	changed := l.changed
-	slow := l.core.Faults().Slow
+	delay := l.core.Faults().Slow
 	l.mu.Unlock()
-	if serr := sleep(ctx, slow); serr != nil {
+	if serr := sleep(ctx, delay); serr != nil {
 		return platform.Batch{}, nil, serr
 	}
 	return b, changed, err
 }
 
-func (l *Log) wake() {
+// notifyReaders ends the waits of readers, which then read again. The caller
+// holds l.mu.
+func (l *Log) notifyReaders() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// List runs a ListCore on the clock. It implements platform.InstanceList in the
-// process.
+// List runs a ListCore in real time. It implements platform.InstanceList
+// in-process.
 type List struct {
 	mu   sync.Mutex
 	core *ListCore
 }
 
-// NewList returns an empty list whose view lags by lag.
+// NewList returns an empty list that shows changes after lag.
 func NewList(lag time.Duration) *List { return &List{core: NewListCore(lag)} }
 
 // List implements platform.InstanceList.
@@ -97,7 +99,7 @@
 	return l.core.List(time.Now()), nil
 }
 
-// Do runs f on the list's core at the present time.
+// Do calls f with the current time and the list's core.
 func (l *List) Do(f func(now time.Time, c *ListCore)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/services_test.go
+++ b/internal/standin/services_test.go
@@ -55,9 +55,9 @@
 	c := NewLogCore(LogSettings{})
 	c.SetFaults(epoch, LogFaults{Down: true})
 	_, err := c.Append(epoch, "s", nil)
-	requireRefused(t, verdict.CodeUnavailable, err)
+	requireNotRun(t, verdict.CodeUnavailable, err)
 	_, err = c.Read("s", 1, 1)
-	requireRefused(t, verdict.CodeUnavailable, err)
+	requireNotRun(t, verdict.CodeUnavailable, err)
 	c.SetFaults(epoch, LogFaults{LoseAnswer: true})
 	_, err = c.Append(epoch, "s", []byte("x"))
 	require.ErrorIs(t, err, ErrAnswerLost)
@@ -76,7 +76,7 @@
 			if _, err := c.Append(at(time.Duration(ms)*time.Millisecond), "s", nil); err == nil {
 				taken++
 			} else {
-				requireRefused(t, verdict.CodeOverloaded, err)
+				requireNotRun(t, verdict.CodeOverloaded, err)
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 	})
 }
 
-func TestListLags(t *testing.T) {
+func TestListShowsChangesAfterLag(t *testing.T) {
 	c := NewListCore(0)
 	c.PutWorker(epoch, model.Worker{ID: "w"})
 	c.PutInstance(epoch, platform.Instance{ID: "b"})
@@ -149,18 +149,18 @@
 		w := model.Worker{ID: "w", Capacity: model.Resources{Slots: 2}}
 		p := New(Config{Workers: []model.Worker{w}})
 		began := time.Now()
-		r := renewal(refA)
+		r := renewRequest(refA)
 		r.Wait = 2 * time.Second
 		reply, err := p.Workers.Renew(t.Context(), w, r)
 		require.NoError(t, err)
 		require.True(t, reply.Granted)
-		require.Equal(t, 2*time.Second, time.Since(began), "no event")
+		require.Equal(t, 2*time.Second, time.Since(began), "without an event the wait takes r.Wait")
 
-		require.NoError(t, p.Workers.Start(t.Context(), w, startOf(refA, 1, "t", time.Second)))
+		require.NoError(t, p.Workers.Start(t.Context(), w, startRequest(refA, 1, "t", time.Second)))
 		reply, err = p.Workers.Renew(t.Context(), w, r)
 		require.NoError(t, err)
 		require.Len(t, reply.Finished, 1)
-		require.Equal(t, 3*time.Second, time.Since(began), "at the event")
+		require.Equal(t, 3*time.Second, time.Since(began), "the wait ends at the event")
 
 		r.Since, r.Wait = reply.Seq, time.Minute
 		time.AfterFunc(time.Second, func() {
@@ -173,25 +173,25 @@
 	})
 }
 
-// TestPausedWorkerTakesHeldCommands has a start take effect after its caller
-// gave up.
-func TestPausedWorkerTakesHeldCommands(t *testing.T) {
+// TestPausedWorkerRunsCommandsOnResume checks that a start sent to a paused
+// worker takes effect when the worker resumes, after the call has timed out.
+func TestPausedWorkerRunsCommandsOnResume(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := model.Worker{ID: "w", Capacity: model.Resources{Slots: 2}}
 		p := New(Config{Workers: []model.Worker{w}})
-		_, err := p.Workers.Renew(t.Context(), w, renewal(refA))
+		_, err := p.Workers.Renew(t.Context(), w, renewRequest(refA))
 		require.NoError(t, err)
 		fault := func(f WorkerFaults) { p.Inject(Fault{Worker: &WorkerFault{ID: "w", Faults: f}}) }
 		fault(WorkerFaults{Paused: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		err = p.Workers.Start(ctx, w, startOf(refA, 1, "t", 0))
+		err = p.Workers.Start(ctx, w, startRequest(refA, 1, "t", 0))
 		require.Equal(t, verdict.MayHaveRun, verdict.Of(err))
-		require.Zero(t, starts(p.History))
+		require.Zero(t, countStarts(p.History))
 		fault(WorkerFaults{})
-		require.Equal(t, 1, starts(p.History))
+		require.Equal(t, 1, countStarts(p.History))
 		p.MarkWorkerLeaving("w")
-		require.Equal(t, 1, count(p.History, EventLeaving))
+		require.Equal(t, 1, countEvents(p.History, EventLeaving))
 		require.False(t, p.Inject(Fault{Worker: &WorkerFault{ID: "none"}}))
 	})
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,7 +1,7 @@
-// Package standin takes the platform's place in tests and in development: the
-// log, the instance list and the workers, with scripted faults. The cores are
-// state machines without I/O; Log, List and Workers run them on the clock and
-// implement the platform's ports in the process; Platform serves them by HTTP.
+// Package standin implements the platform's log, instance list and workers for
+// tests and development, with injected faults. The cores are state machines
+// without I/O. Log, List and Workers run them in real time and implement the
+// platform's interfaces in-process; Platform serves them over HTTP.
 package standin
 
 import (
@@ -11,7 +11,7 @@
 	"pollenbend/internal/platform"
 )
 
-// Config configures a Platform. Zero fields take the defaults.
+// Config configures a Platform. Zero settings get defaults.
 type Config struct {
 	Workers   []model.Worker
 	Instances []platform.Instance
@@ -20,7 +20,7 @@
 	Worker    WorkerSettings
 }
 
-// Platform bundles the stand-ins.
+// Platform combines the log, the instance list and the workers.
 type Platform struct {
 	Log     *Log
 	List    *List
@@ -31,8 +31,8 @@
 	conns    *connections
 }
 
-// New returns a platform with the workers and instances of cfg, which its list
-// shows at once.
+// New returns a platform with the workers and instances of cfg. Its list shows
+// them immediately; ListLag applies to later changes.
 func New(cfg Config) *Platform {
 	h := NewHistory()
 	p := &Platform{
@@ -55,15 +55,15 @@
 	return p
 }
 
-// AddWorker starts a worker and lists it. An existing one of the same id is
-// replaced.
+// AddWorker starts a worker and adds it to the list. It replaces an existing
+// worker of the same id.
 func (p *Platform) AddWorker(w model.Worker) {
 	p.Workers.Add(w, p.settings)
 	p.List.Do(func(now time.Time, c *ListCore) { c.PutWorker(now, w) })
 }
 
 // MarkWorkerLeaving marks a worker as leaving in the list. The worker itself
-// goes on taking starts, so that the history shows those that came too late.
+// still accepts starts, so that the history shows those that came too late.
 func (p *Platform) MarkWorkerLeaving(id model.WorkerID) {
 	p.List.Do(func(now time.Time, c *ListCore) { c.MarkWorkerLeaving(now, id) })
 	p.Workers.Do(id, func(now time.Time, c *WorkerCore) {
@@ -71,17 +71,18 @@
 	})
 }
 
-// Fault scripts faults. Nil and zero fields change nothing.
+// Fault describes faults to inject. Nil and zero fields change nothing.
 type Fault struct {
 	Worker *WorkerFault `json:"worker,omitempty"`
 	Log    *LogFaults   `json:"log,omitempty"`
 	List   *ListFault   `json:"list,omitempty"`
-	// Silence makes all open connections of one service go silent for good,
-	// while new ones work: "/log", "/list" or "/workers/" with an id.
+	// Silence names a service: "/log", "/list" or "/workers/" followed by an
+	// id. All its open connections permanently drop all data, while new
+	// connections work.
 	Silence string `json:"silence,omitempty"`
 }
 
-// WorkerFault replaces the faults of a worker.
+// WorkerFault replaces the faults of a worker. Restart restarts the worker first.
 type WorkerFault struct {
 	ID      model.WorkerID `json:"id"`
 	Faults  WorkerFaults   `json:"faults"`
@@ -93,7 +94,7 @@
 	Lag time.Duration `json:"lag"`
 }
 
-// Inject applies f. It reports whether the worker that f names exists.
+// Inject applies f. It returns false when f names a worker that does not exist.
 func (p *Platform) Inject(f Fault) bool {
 	if f.Log != nil {
 		p.Log.SetFaults(*f.Log)
@@ -102,7 +103,7 @@
 		p.List.Do(func(_ time.Time, c *ListCore) { c.SetLag(f.List.Lag) })
 	}
 	if f.Silence != "" {
-		p.conns.silence(f.Silence)
+		p.conns.blackhole(f.Silence)
 	}
 	if f.Worker == nil {
 		return true
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -18,17 +18,18 @@
 	Forever time.Duration = -1
 )
 
-// RuntimeFunc decides how long a task really runs and whether it fails.
+// RuntimeFunc returns how long a task actually runs and whether it fails.
 type RuntimeFunc func(model.Task) (runTime time.Duration, fail bool)
 
-// WorkerSettings configures a WorkerCore. Zero fields take the defaults.
+// WorkerSettings configures a WorkerCore. Zero fields get defaults.
 type WorkerSettings struct {
-	// TaskLease is how long tasks go on without any renewal of the worker's
-	// lease; then the worker stops them all.
+	// TaskLease is how long tasks may run after the last renewal or release of
+	// the worker's lease. Then the worker stops them all.
 	TaskLease time.Duration
 	// Retention is how long outcomes and the ids of ended tasks are kept.
 	Retention time.Duration
-	Runtime   RuntimeFunc
+	// Runtime defaults to DeclaredRuntime.
+	Runtime RuntimeFunc
 }
 
 func (s WorkerSettings) withDefaults() WorkerSettings {
@@ -44,8 +45,8 @@
 	return s
 }
 
-// DeclaredRuntime runs a task for its declared run time. Without one, a service
-// runs until stopped and any other task for DefaultRunTime.
+// DeclaredRuntime returns a task's declared run time. Without one, a service runs
+// until it is stopped and any other task for DefaultRunTime. No task fails.
 func DeclaredRuntime(t model.Task) (time.Duration, bool) {
 	switch {
 	case t.RunTime > 0:
@@ -57,7 +58,7 @@
 }
 
 // WorkerCore is the state machine of one worker. It does no I/O, takes the time
-// as an argument and is not safe for concurrent use. Time must not go back.
+// as an argument and is not safe for concurrent use. The time must not decrease.
 type WorkerCore struct {
 	worker   model.Worker
 	settings WorkerSettings
@@ -65,79 +66,83 @@
 	faults   WorkerFaults
 
 	incarnation model.Incarnation
-	born        time.Time
-	contact     time.Time // last renewal or release
+	startedAt   time.Time
+	lastContact time.Time // last renewal or release
 
-	lease   lease
-	highest platform.LeaseRef // with the highest term in any renewal
+	lease      lease
+	highestRef platform.LeaseRef // the latest reference with the highest term in any renewal
 
 	running map[model.TaskID]*run
 	used    model.Resources
 	seen    map[model.TaskID]struct{}
-	ended   []endedTask // in order of their ends
+	ended   []endedTask // in the order in which they ended
 
-	seq       uint64 // of the last reported outcome
-	reported  []report
-	unsettled []report // ended, but not yet reported
+	seq        uint64 // of the last reported outcome
+	reported   []outcomeReport
+	unreported []outcomeReport // of ended tasks, waiting for their report time
 }
 
-// lease is the last lease granted. It is in force until until.
+// lease is the last lease that was granted. It is valid before expiresAt.
 type lease struct {
-	ref   platform.LeaseRef
-	until time.Time
-	fence uint64
+	ref       platform.LeaseRef
+	expiresAt time.Time
+	fence     uint64
 }
 
+// endedTask is a task whose id is kept until the retention has passed.
 type endedTask struct {
 	id model.TaskID
 	at time.Time
 }
 
-type report struct {
+// outcomeReport is an outcome that has been or will be reported.
+type outcomeReport struct {
 	seq     uint64
 	at      time.Time // when it is or was reported
 	task    model.Task
 	outcome model.Outcome
 }
 
-// NewWorkerCore returns a worker that begins its first incarnation at now.
-// Several workers may share a history.
+// NewWorkerCore returns a worker whose first incarnation starts at now. Several
+// workers may share a history.
 func NewWorkerCore(now time.Time, w model.Worker, s WorkerSettings, h *History) *WorkerCore {
 	c := &WorkerCore{worker: w, settings: s.withDefaults(), history: h}
-	c.begin(now)
+	c.startIncarnation(now)
 	return c
 }
 
-func (c *WorkerCore) begin(now time.Time) {
+// startIncarnation increments the incarnation and resets all other state of the
+// worker except its settings and faults.
+func (c *WorkerCore) startIncarnation(now time.Time) {
 	c.incarnation++
-	c.born = now
-	c.contact = now
+	c.startedAt = now
+	c.lastContact = now
 	c.lease = lease{}
-	c.highest = platform.LeaseRef{}
+	c.highestRef = platform.LeaseRef{}
 	c.running = map[model.TaskID]*run{}
 	c.used = model.Resources{}
 	c.seen = map[model.TaskID]struct{}{}
 	c.ended = nil
 	c.seq = 0
 	c.reported = nil
-	c.unsettled = nil
+	c.unreported = nil
 }
 
 // Worker returns the description of the worker.
 func (c *WorkerCore) Worker() model.Worker { return c.worker }
 
-// Incarnation returns the number of the present incarnation.
+// Incarnation returns the number of the current incarnation.
 func (c *WorkerCore) Incarnation() model.Incarnation { return c.incarnation }
 
-// Used returns the resources of the running tasks.
+// Used returns the sum of the running tasks' resources.
 func (c *WorkerCore) Used() model.Resources { return c.used }
 
-// Lease returns the lease in force at now; ok is false when there is none.
+// Lease returns the last granted lease; ok reports whether it is valid at now.
 func (c *WorkerCore) Lease(now time.Time) (ref platform.LeaseRef, ok bool) {
-	return c.lease.ref, now.Before(c.lease.until)
+	return c.lease.ref, now.Before(c.lease.expiresAt)
 }
 
-// Renew takes, renews or releases the lease and reports without waiting.
+// Renew acquires, renews or releases the lease and answers without waiting.
 func (c *WorkerCore) Renew(now time.Time, r platform.RenewRequest) platform.RenewReply {
 	c.Advance(now)
 	if r.Release {
@@ -149,7 +154,7 @@
 	return c.Report(now, r)
 }
 
-// Report answers r from the present state without renewing the lease.
+// Report answers r from the current state without renewing the lease.
 func (c *WorkerCore) Report(now time.Time, r platform.RenewRequest) platform.RenewReply {
 	c.Advance(now)
 	ref, ok := c.Lease(now)
@@ -160,7 +165,7 @@
 		Granted:     true,
 		Current:     ref,
 		Incarnation: c.incarnation,
-		Uptime:      now.Sub(c.born),
+		Uptime:      now.Sub(c.startedAt),
 		Seq:         c.seq,
 		Retention:   c.settings.Retention,
 	}
@@ -172,36 +177,36 @@
 	return reply
 }
 
-// HasEvent reports whether there is an outcome after since.
+// HasEvent reports whether there is a reported outcome after since.
 func (c *WorkerCore) HasEvent(since uint64) bool { return c.seq > since }
 
 func (c *WorkerCore) grant(now time.Time, r platform.RenewRequest) bool {
-	if r.Lease.Term >= c.highest.Term {
-		c.highest = r.Lease
+	if r.Lease.Term >= c.highestRef.Term {
+		c.highestRef = r.Lease
 	}
-	if r.Duration <= 0 || !c.mayHold(now, r.Lease) {
+	if r.Duration <= 0 || !c.canGrant(now, r.Lease) {
 		return false
 	}
 	if c.lease.ref != r.Lease {
 		c.lease = lease{ref: r.Lease}
 		c.record(now, EventGrant, model.Task{}, r.Lease)
 	}
-	if until := now.Add(r.Duration); until.After(c.lease.until) {
-		c.lease.until = until
+	if expiresAt := now.Add(r.Duration); expiresAt.After(c.lease.expiresAt) {
+		c.lease.expiresAt = expiresAt
 	}
 	if r.Full {
 		c.lease.fence = max(c.lease.fence, r.Fence)
 	}
-	c.contact = now
+	c.lastContact = now
 	return true
 }
 
-// mayHold decides whether ref gets the lease. Terms never go down, and nothing
-// but its own holder replaces a lease in force.
-func (c *WorkerCore) mayHold(now time.Time, ref platform.LeaseRef) bool {
+// canGrant reports whether ref may get the lease. Terms never decrease, and only
+// its holder may replace a valid lease.
+func (c *WorkerCore) canGrant(now time.Time, ref platform.LeaseRef) bool {
 	current, held := c.Lease(now)
 	if !held {
-		return ref.Term >= c.highest.Term
+		return ref.Term >= c.highestRef.Term
 	}
 	same := ref.Holder == current.Holder && ref.Incarnation == current.Incarnation
 	return same && ref.Term >= current.Term
@@ -212,21 +217,22 @@
 	if !held || current != ref {
 		return c.notGranted(now)
 	}
-	c.lease.until = now
-	c.contact = now
+	c.lease.expiresAt = now
+	c.lastContact = now
 	return platform.RenewReply{}
 }
 
-// notGranted names the holder or, without one, the highest term seen.
+// notGranted returns an answer that names the lease holder or, if there is none,
+// the reference with the highest term.
 func (c *WorkerCore) notGranted(now time.Time) platform.RenewReply {
 	ref, held := c.Lease(now)
 	if !held {
-		ref = c.highest
+		ref = c.highestRef
 	}
 	return platform.RenewReply{Current: ref}
 }
 
-// authorize refuses a command that does not come under the lease in force.
+// authorize refuses a command that does not carry the valid lease.
 func (c *WorkerCore) authorize(now time.Time, ref platform.LeaseRef) error {
 	current, held := c.Lease(now)
 	if !held {
@@ -240,10 +246,10 @@
 }
 
 func (c *WorkerCore) record(now time.Time, kind EventKind, t model.Task, ref platform.LeaseRef) {
-	c.recordEnd(now, kind, t, ref, nil)
+	c.recordOutcome(now, kind, t, ref, nil)
 }
 
-func (c *WorkerCore) recordEnd(now time.Time, kind EventKind, t model.Task, ref platform.LeaseRef, o *model.Outcome) {
+func (c *WorkerCore) recordOutcome(now time.Time, kind EventKind, t model.Task, ref platform.LeaseRef, o *model.Outcome) {
 	c.history.add(Event{
 		At:          now,
 		Kind:        kind,
--- a/internal/standin/worker_faults.go
+++ b/internal/standin/worker_faults.go
@@ -2,21 +2,24 @@
 
 import "time"
 
-// WorkerFaults are the scripted faults of one worker. FailEverything, CutAnswer
-// and ReportDelay act in WorkerCore; the others act where commands arrive.
+// WorkerFaults are the injected faults of one worker. WorkerCore applies
+// FailEverything, CutAnswer and ReportDelay, and does not advance while Paused.
+// Workers applies the others, and queues commands while Paused.
 type WorkerFaults struct {
+	// FailEverything makes every task that starts fail after failedRunTime.
 	FailEverything bool `json:"fail_everything,omitempty"`
-	// CutAnswer cuts answers in half; their outcomes are not Complete.
+	// CutAnswer truncates answers to half; their outcomes are not Complete.
 	CutAnswer bool `json:"cut_answer,omitempty"`
-	// Paused freezes the worker: nothing ends and no command is answered.
+	// Paused suspends the worker: no task ends and no command is answered. The
+	// commands run when the worker resumes.
 	Paused bool `json:"paused,omitempty"`
-	// LoseStartAnswer lets starts take effect and loses their answers.
+	// LoseStartAnswer makes starts take effect but return ErrAnswerLost.
 	LoseStartAnswer bool `json:"lose_start_answer,omitempty"`
 	// ReportDelay delays the report of every outcome.
 	ReportDelay time.Duration `json:"report_delay,omitempty"`
-	// Silent takes commands in and never answers; they have no effect.
+	// Silent accepts commands without effect and never answers them.
 	Silent bool `json:"silent,omitempty"`
-	// Unreachable breaks the connection of every command without effect.
+	// Unreachable makes every command fail with ErrUnreachable, without effect.
 	Unreachable bool `json:"unreachable,omitempty"`
 }
 
@@ -26,32 +29,33 @@
 // SetFaults replaces the faults in force.
 func (c *WorkerCore) SetFaults(now time.Time, f WorkerFaults) {
 	c.Advance(now)
-	woken := c.faults.Paused && !f.Paused
+	resumed := c.faults.Paused && !f.Paused
 	c.faults = f
-	if woken {
-		c.wake(now)
+	if resumed {
+		c.resume(now)
 	}
 }
 
-// wake moves what fell due during a pause to its end.
-func (c *WorkerCore) wake(now time.Time) {
+// resume moves the due times and the expiry of the task lease that fell into a
+// pause to the end of the pause.
+func (c *WorkerCore) resume(now time.Time) {
 	for _, t := range c.running {
 		if !t.due.IsZero() && t.due.Before(now) {
 			t.due = now
 		}
 	}
-	if c.contact.Add(c.settings.TaskLease).Before(now) {
-		c.contact = now.Add(-c.settings.TaskLease)
+	if c.lastContact.Add(c.settings.TaskLease).Before(now) {
+		c.lastContact = now.Add(-c.settings.TaskLease)
 	}
 	c.Advance(now)
 }
 
-// Restart begins a new incarnation. Its tasks are gone without an outcome, and
-// all memory of tasks, leases and terms with them.
+// Restart starts a new incarnation. The running tasks end without an outcome, and
+// all state of tasks, leases and terms is lost.
 func (c *WorkerCore) Restart(now time.Time) {
 	for _, t := range c.running {
-		c.recordEnd(now, EventEnd, t.task, t.ref, nil)
+		c.recordOutcome(now, EventEnd, t.task, t.ref, nil)
 	}
-	c.begin(now)
+	c.startIncarnation(now)
 	c.history.add(Event{At: now, Kind: EventRestart, Worker: c.worker.ID, Incarnation: c.incarnation})
 }
--- a/internal/standin/worker_property_test.go
+++ b/internal/standin/worker_property_test.go
@@ -15,7 +15,7 @@
 	"pollenbend/internal/verdict"
 )
 
-// propertySeed makes the random tests repeat; -rapid.seed overrides it.
+// propertySeed makes the property tests deterministic; -rapid.seed overrides it.
 const propertySeed = "20261203"
 
 func TestMain(m *testing.M) {
@@ -27,22 +27,23 @@
 	os.Exit(m.Run())
 }
 
-// shadow is an independent record of what a worker granted and started. Its
-// commands are random: racing holders, delayed starts, pauses and restarts.
-type shadow struct {
-	core    *WorkerCore
-	now     time.Time
-	holder  platform.LeaseRef
-	until   time.Time
-	topTerm uint64
-	fence   uint64
-	started map[model.TaskID]bool
+// referenceWorker is an independent model of the leases that a worker granted and
+// the tasks that it started. Its methods issue random commands: from competing
+// holders, delayed starts, pauses and restarts.
+type referenceWorker struct {
+	core        *WorkerCore
+	now         time.Time
+	holder      platform.LeaseRef
+	expiresAt   time.Time
+	highestTerm uint64
+	fence       uint64
+	started     map[model.TaskID]bool
 }
 
-func newShadow() *shadow {
+func newReferenceWorker() *referenceWorker {
 	w := model.Worker{ID: "w", Capacity: model.Resources{Slots: 3, MilliCPU: 4000}}
 	settings := WorkerSettings{TaskLease: 20 * time.Second}
-	return &shadow{
+	return &referenceWorker{
 		core:    NewWorkerCore(epoch, w, settings, NewHistory()),
 		now:     epoch,
 		started: map[model.TaskID]bool{},
@@ -57,61 +58,62 @@
 	}
 }
 
-// drawUsual returns the holder most of the time.
-func (s *shadow) drawUsual(t *rapid.T) platform.LeaseRef {
+// drawMostlyHolder returns the lease of the present holder in three of four
+// draws, otherwise a random one.
+func (s *referenceWorker) drawMostlyHolder(t *rapid.T) platform.LeaseRef {
 	if rapid.IntRange(0, 3).Draw(t, "usual") > 0 {
 		return s.holder
 	}
 	return drawRef(t)
 }
 
-func (s *shadow) pass(t *rapid.T) {
+func (s *referenceWorker) advance(t *rapid.T) {
 	s.now = s.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 	s.core.Advance(s.now)
 }
 
-func (s *shadow) renew(t *rapid.T) {
+func (s *referenceWorker) renew(t *rapid.T) {
 	r := platform.RenewRequest{
-		Lease:    s.drawUsual(t),
+		Lease:    s.drawMostlyHolder(t),
 		Duration: time.Duration(rapid.IntRange(0, 5).Draw(t, "seconds")) * time.Second,
 		Full:     rapid.Bool().Draw(t, "full"),
 		Fence:    uint64(rapid.IntRange(0, 8).Draw(t, "fence")),
 	}
 	reply := s.core.Renew(s.now, r)
-	until := s.now.Add(r.Duration)
+	expiresAt := s.now.Add(r.Duration)
 	if !reply.Granted {
 		return
 	}
 	if r.Lease != s.holder {
 		same := r.Lease.Holder == s.holder.Holder && r.Lease.Incarnation == s.holder.Incarnation
-		if s.now.Before(s.until) && !same {
-			t.Fatalf("%v granted while %v holds until %v", r.Lease, s.holder, s.until)
+		if s.now.Before(s.expiresAt) && !same {
+			t.Fatalf("%v granted while %v holds until %v", r.Lease, s.holder, s.expiresAt)
 		}
-		s.holder, s.until, s.fence = r.Lease, s.now, 0
+		s.holder, s.expiresAt, s.fence = r.Lease, s.now, 0
 	}
-	if r.Lease.Term < s.topTerm {
-		t.Fatalf("term went down from %d to %d", s.topTerm, r.Lease.Term)
+	if r.Lease.Term < s.highestTerm {
+		t.Fatalf("term decreased from %d to %d", s.highestTerm, r.Lease.Term)
 	}
-	s.topTerm = r.Lease.Term
-	if until.After(s.until) {
-		s.until = until
+	s.highestTerm = r.Lease.Term
+	if expiresAt.After(s.expiresAt) {
+		s.expiresAt = expiresAt
 	}
 	if r.Full {
 		s.fence = max(s.fence, r.Fence)
 	}
 }
 
-func (s *shadow) release(t *rapid.T) {
-	ref := s.drawUsual(t)
+func (s *referenceWorker) release(t *rapid.T) {
+	ref := s.drawMostlyHolder(t)
 	s.core.Renew(s.now, platform.RenewRequest{Lease: ref, Release: true})
-	if ref == s.holder && s.now.Before(s.until) {
-		s.until = s.now
+	if ref == s.holder && s.now.Before(s.expiresAt) {
+		s.expiresAt = s.now
 	}
 }
 
-func (s *shadow) start(t *rapid.T) {
+func (s *referenceWorker) start(t *rapid.T) {
 	r := platform.StartRequest{
-		Lease: s.drawUsual(t),
+		Lease: s.drawMostlyHolder(t),
 		Seq:   uint64(rapid.IntRange(0, 12).Draw(t, "seq")),
 		Task: model.Task{
 			ID:      model.TaskID(fmt.Sprint(rapid.IntRange(0, 30).Draw(t, "task"))),
@@ -122,17 +124,17 @@
 			},
 		},
 	}
-	before := starts(s.core.history)
+	before := countStarts(s.core.history)
 	err := s.core.Start(s.now, r)
-	if starts(s.core.history) == before {
+	if countStarts(s.core.history) == before {
 		s.checkRefusal(t, r, err)
 		return
 	}
 	switch {
 	case err != nil:
-		t.Fatalf("task %s was refused and started", r.Task.ID)
-	case r.Lease != s.holder || !s.now.Before(s.until):
-		t.Fatalf("start under %v; %v holds until %v, now %v", r.Lease, s.holder, s.until, s.now)
+		t.Fatalf("task %s was started although the start was refused", r.Task.ID)
+	case r.Lease != s.holder || !s.now.Before(s.expiresAt):
+		t.Fatalf("start under %v; %v holds until %v, now %v", r.Lease, s.holder, s.expiresAt, s.now)
 	case r.Seq <= s.fence:
 		t.Fatalf("start %d passed fence %d", r.Seq, s.fence)
 	case s.started[r.Task.ID]:
@@ -141,33 +143,33 @@
 	s.started[r.Task.ID] = true
 }
 
-// checkRefusal wants a reason for a task that did not start.
-func (s *shadow) checkRefusal(t *rapid.T, r platform.StartRequest, err error) {
+// checkRefusal checks that there was a valid reason not to start a task.
+func (s *referenceWorker) checkRefusal(t *rapid.T, r platform.StartRequest, err error) {
 	var e *verdict.Error
 	switch {
 	case err == nil && !s.started[r.Task.ID]:
-		t.Fatalf("task %s was acknowledged and not started", r.Task.ID)
+		t.Fatalf("start of task %s was acknowledged but the task did not start", r.Task.ID)
 	case err == nil:
 		return
 	case !errors.As(err, &e) || e.Verdict != verdict.NotRun:
 		t.Fatalf("refused without a verdict: %v", err)
 	case s.started[r.Task.ID]:
-		t.Fatalf("task %s was started and then said not to have run", r.Task.ID)
-	case e.Code == verdict.CodeStaleAuthority && r.Lease == s.holder && s.now.Before(s.until) && r.Seq > s.fence:
+		t.Fatalf("task %s was started but the answer's verdict is not run", r.Task.ID)
+	case e.Code == verdict.CodeStaleAuthority && r.Lease == s.holder && s.now.Before(s.expiresAt) && r.Seq > s.fence:
 		t.Fatalf("refused under the lease in force: %v", err)
 	}
 }
 
-func (s *shadow) stop(t *rapid.T) {
+func (s *referenceWorker) stop(t *rapid.T) {
 	modes := []platform.StopMode{platform.StopKill, platform.StopCheckpoint, platform.StopThrottle}
 	_ = s.core.Stop(s.now, platform.StopRequest{
-		Lease: s.drawUsual(t),
+		Lease: s.drawMostlyHolder(t),
 		Task:  model.TaskID(fmt.Sprint(rapid.IntRange(0, 30).Draw(t, "task"))),
 		Mode:  rapid.SampledFrom(modes).Draw(t, "mode"),
 	})
 }
 
-func (s *shadow) faults(t *rapid.T) {
+func (s *referenceWorker) setFaults(t *rapid.T) {
 	s.core.SetFaults(s.now, WorkerFaults{
 		Paused:         rapid.IntRange(0, 2).Draw(t, "paused") == 0,
 		FailEverything: rapid.Bool().Draw(t, "failing"),
@@ -175,18 +177,19 @@
 	})
 }
 
-func (s *shadow) restart(t *rapid.T) {
+func (s *referenceWorker) restart(t *rapid.T) {
 	if rapid.IntRange(0, 4).Draw(t, "restart") > 0 {
 		return
 	}
 	s.core.Restart(s.now)
-	s.holder, s.until, s.topTerm, s.fence = platform.LeaseRef{}, s.now, 0, 0
+	s.holder, s.expiresAt, s.highestTerm, s.fence = platform.LeaseRef{}, s.now, 0, 0
 	s.started = map[model.TaskID]bool{}
 }
 
-// check replays the history: what runs never exceeds the capacity, nothing ends
-// that did not start, and times don't go back within a task.
-func (s *shadow) check(t *rapid.T) {
+// checkHistory replays the history and checks that running tasks never exceed
+// the capacity, that no task ends without a start, and that no task ends before
+// its start.
+func (s *referenceWorker) checkHistory(t *rapid.T) {
 	var used model.Resources
 	running := map[model.TaskID]Event{}
 	for _, e := range s.core.history.Read(0).Events {
@@ -203,26 +206,26 @@
 			used = used.Sub(e.Demand)
 		}
 		if !used.Fits(s.core.Worker().Capacity) {
-			t.Fatalf("committed %+v", used)
+			t.Fatalf("running tasks exceed the capacity: %+v", used)
 		}
 	}
 	if used != s.core.Used() {
-		t.Fatalf("history has %+v in use, the worker %+v", used, s.core.Used())
+		t.Fatalf("the history has %+v in use, the worker reports %+v", used, s.core.Used())
 	}
 }
 
 func TestWorkerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newShadow()
+		s := newReferenceWorker()
 		t.Repeat(map[string]func(*rapid.T){
-			"":        s.check,
-			"pass":    s.pass,
+			"":        s.checkHistory,
+			"pass":    s.advance,
 			"renew":   s.renew,
 			"release": s.release,
 			"start":   s.start,
 			"again":   s.start,
 			"stop":    s.stop,
-			"faults":  s.faults,
+			"faults":  s.setFaults,
 			"restart": s.restart,
 		})
 	})
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// checkpointTime is how long a task takes to write its checkpoint.
-	checkpointTime = 100 * time.Millisecond
-	// throttleFactor lengthens the rest of a throttled task's run time.
-	throttleFactor = 2
-	// quickFailure bounds the run time of a task on a worker that fails everything.
-	quickFailure = time.Millisecond
+	// checkpointDuration is how long a task takes to write its checkpoint.
+	checkpointDuration = 100 * time.Millisecond
+	// throttleMultiplier multiplies the remaining run time of a throttled task.
+	throttleMultiplier = 2
+	// failedRunTime is the run time of a task on a worker with FailEverything.
+	failedRunTime = time.Millisecond
 )
 
 // run is a running task.
@@ -25,9 +25,9 @@
 	task    model.Task
 	ref     platform.LeaseRef
 	started time.Time
-	due     time.Time // zero when it runs until stopped
+	due     time.Time // when it ends; zero if it runs until stopped
 	fail    bool
-	stop    platform.StopMode // StopCheckpoint while a checkpoint is written
+	stop    platform.StopMode // StopCheckpoint while the final checkpoint is written
 }
 
 // echo is the answer of a completed task.
@@ -36,8 +36,8 @@
 	Task model.TaskID `json:"task"`
 }
 
-// Start starts a task. Its errors carry verdict.NotRun. It returns nil without
-// effect for a task id that the worker has seen, whoever asks.
+// Start starts a task. Its errors carry verdict.NotRun. For a task id that the
+// worker has seen it returns nil without effect, whichever lease r carries.
 func (c *WorkerCore) Start(now time.Time, r platform.StartRequest) error {
 	c.Advance(now)
 	if _, ok := c.seen[r.Task.ID]; ok {
@@ -47,7 +47,7 @@
 		return err
 	}
 	t := &run{task: r.Task, ref: r.Lease, started: now}
-	c.schedule(t)
+	c.setDue(t)
 	c.running[r.Task.ID] = t
 	c.seen[r.Task.ID] = struct{}{}
 	c.used = c.used.Add(r.Task.Demand)
@@ -55,6 +55,8 @@
 	return nil
 }
 
+// admit refuses a start without a valid lease, sequence number, incarnation or
+// task, and one that does not fit into the free resources.
 func (c *WorkerCore) admit(now time.Time, r platform.StartRequest) error {
 	if err := c.authorize(now, r.Lease); err != nil {
 		c.record(now, EventStale, r.Task, r.Lease)
@@ -80,10 +82,10 @@
 	return nil
 }
 
-func (c *WorkerCore) schedule(t *run) {
+func (c *WorkerCore) setDue(t *run) {
 	d, fail := c.settings.Runtime(t.task)
 	if c.faults.FailEverything {
-		d, fail = quickFailure, true
+		d, fail = failedRunTime, true
 	}
 	t.fail = fail
 	if d != Forever {
@@ -91,8 +93,8 @@
 	}
 }
 
-// Stop stops or throttles a running task. Stopping an ended task has no effect.
-// Its errors carry verdict.NotRun.
+// Stop stops or throttles a running task. It has no effect on an ended task. Its
+// errors carry verdict.NotRun.
 func (c *WorkerCore) Stop(now time.Time, r platform.StopRequest) error {
 	c.Advance(now)
 	if err := c.authorize(now, r.Lease); err != nil {
@@ -100,7 +102,7 @@
 	}
 	t, ok := c.running[r.Task]
 	if !ok {
-		return c.stopAbsent(r.Task)
+		return c.stopNotRunning(r.Task)
 	}
 	switch r.Mode {
 	case platform.StopKill:
@@ -116,7 +118,7 @@
 	return nil
 }
 
-func (c *WorkerCore) stopAbsent(id model.TaskID) error {
+func (c *WorkerCore) stopNotRunning(id model.TaskID) error {
 	if _, ok := c.seen[id]; ok {
 		return nil
 	}
@@ -127,71 +129,72 @@
 	if t.stop == platform.StopCheckpoint {
 		return
 	}
-	written := now.Add(checkpointTime)
-	if !t.due.IsZero() && t.due.Before(written) {
-		return // it ends by itself before
+	writtenAt := now.Add(checkpointDuration)
+	if !t.due.IsZero() && t.due.Before(writtenAt) {
+		return // the task ends before the checkpoint would be written
 	}
 	t.stop = platform.StopCheckpoint
-	t.due = written
+	t.due = writtenAt
 }
 
 func (t *run) throttle(now time.Time) {
 	if t.due.IsZero() || t.stop == platform.StopCheckpoint {
 		return
 	}
-	t.due = now.Add(t.due.Sub(now) * throttleFactor)
+	t.due = now.Add(t.due.Sub(now) * throttleMultiplier)
 }
 
-// Advance ends the tasks whose run time has passed, stops all tasks when the
-// task lease has lapsed, reports outcomes and forgets old ones. A paused worker
-// does nothing.
+// Advance ends the tasks that are due at now, stops all tasks when the task lease
+// has expired, reports outcomes, and removes outcomes and task ids that are older
+// than the retention. It has no effect on a paused worker.
 func (c *WorkerCore) Advance(now time.Time) {
 	if c.faults.Paused {
 		return
 	}
-	lapse := c.contact.Add(c.settings.TaskLease)
-	if now.Before(lapse) {
-		c.endDue(now)
+	expiry := c.lastContact.Add(c.settings.TaskLease)
+	if now.Before(expiry) {
+		c.endDueTasks(now)
 	} else {
-		c.endDue(lapse)
-		c.stopAll(lapse)
+		c.endDueTasks(expiry)
+		c.stopAll(expiry)
 	}
-	c.publish(now)
-	c.forget(now)
+	c.publishOutcomes(now)
+	c.removeExpired(now)
 }
 
-// Next returns the time at which Advance has something to do; ok is false when
-// there is nothing to wait for. It leaves out the forgetting of old outcomes.
+// Next returns the next time at which Advance ends or reports a task; ok is false
+// when there is none. It does not consider the removal of old outcomes.
 func (c *WorkerCore) Next() (at time.Time, ok bool) {
 	if c.faults.Paused {
 		return time.Time{}, false
 	}
 	if len(c.running) > 0 {
-		at = c.contact.Add(c.settings.TaskLease)
+		at = c.lastContact.Add(c.settings.TaskLease)
 	}
-	if t := c.firstDue(); t != nil && t.due.Before(at) {
+	if t := c.earliestDue(); t != nil && t.due.Before(at) {
 		at = t.due
 	}
-	if len(c.unsettled) > 0 && (at.IsZero() || c.unsettled[0].at.Before(at)) {
-		at = c.unsettled[0].at
+	if len(c.unreported) > 0 && (at.IsZero() || c.unreported[0].at.Before(at)) {
+		at = c.unreported[0].at
 	}
 	return at, !at.IsZero()
 }
 
-func (c *WorkerCore) firstDue() *run {
-	var first *run
+func (c *WorkerCore) earliestDue() *run {
+	var earliest *run
 	for _, t := range c.running {
 		if t.due.IsZero() {
 			continue
 		}
-		if first == nil || t.before(first) {
-			first = t
+		if earliest == nil || t.before(earliest) {
+			earliest = t
 		}
 	}
-	return first
+	return earliest
 }
 
-// before orders runs by due time, then by id, so that runs repeat exactly.
+// before orders runs by due time, then by id, so that simulations are
+// deterministic.
 func (t *run) before(o *run) bool {
 	if !t.due.Equal(o.due) {
 		return t.due.Before(o.due)
@@ -199,9 +202,10 @@
 	return t.task.ID < o.task.ID
 }
 
-func (c *WorkerCore) endDue(now time.Time) {
+// endDueTasks ends, in order, the tasks that are due at now.
+func (c *WorkerCore) endDueTasks(now time.Time) {
 	for {
-		t := c.firstDue()
+		t := c.earliestDue()
 		if t == nil || t.due.After(now) {
 			return
 		}
@@ -209,6 +213,7 @@
 	}
 }
 
+// stopAll stops all tasks at the time at, when the task lease has expired.
 func (c *WorkerCore) stopAll(at time.Time) {
 	ids := make([]model.TaskID, 0, len(c.running))
 	for id := range c.running {
@@ -237,7 +242,7 @@
 	}
 	o := model.Outcome{
 		Task:     t.task.ID,
-		Answer:   answer(t.task),
+		Answer:   echoAnswer(t.task),
 		Complete: true,
 		Ran:      t.due.Sub(t.started),
 		Usage:    t.task.Demand,
@@ -249,10 +254,10 @@
 	return o
 }
 
-func answer(t model.Task) []byte {
+func echoAnswer(t model.Task) []byte {
 	b, err := json.Marshal(echo{Echo: t.Payload, Task: t.ID})
 	if err != nil {
-		panic(err) // bytes and strings always marshal
+		panic(err) // bytes and strings can always be encoded
 	}
 	return b
 }
@@ -271,21 +276,24 @@
 	delete(c.running, t.task.ID)
 	c.used = c.used.Sub(t.task.Demand)
 	c.ended = append(c.ended, endedTask{id: t.task.ID, at: at})
-	c.unsettled = append(c.unsettled, report{at: at.Add(c.faults.ReportDelay), task: t.task, outcome: o})
-	c.recordEnd(at, EventEnd, t.task, t.ref, &o)
+	c.unreported = append(c.unreported, outcomeReport{at: at.Add(c.faults.ReportDelay), task: t.task, outcome: o})
+	c.recordOutcome(at, EventEnd, t.task, t.ref, &o)
 }
 
-func (c *WorkerCore) publish(now time.Time) {
-	for len(c.unsettled) > 0 && !c.unsettled[0].at.After(now) {
+// publishOutcomes assigns event numbers to the outcomes whose report time has
+// come.
+func (c *WorkerCore) publishOutcomes(now time.Time) {
+	for len(c.unreported) > 0 && !c.unreported[0].at.After(now) {
 		c.seq++
-		r := c.unsettled[0]
+		r := c.unreported[0]
 		r.seq = c.seq
 		c.reported = append(c.reported, r)
-		c.unsettled = c.unsettled[1:]
+		c.unreported = c.unreported[1:]
 	}
 }
 
-func (c *WorkerCore) forget(now time.Time) {
+// removeExpired removes outcomes and task ids that are older than the retention.
+func (c *WorkerCore) removeExpired(now time.Time) {
 	oldest := now.Add(-c.settings.Retention)
 	for len(c.reported) > 0 && c.reported[0].at.Before(oldest) {
 		c.reported = c.reported[1:]
@@ -296,14 +304,13 @@
 	}
 }
 
-// runningTasks returns, in order of their ids, the tasks whose end is not yet
-// reported.
+// runningTasks returns the tasks whose end is not yet reported, sorted by id.
 func (c *WorkerCore) runningTasks() []model.Task {
-	tasks := make([]model.Task, 0, len(c.running)+len(c.unsettled))
+	tasks := make([]model.Task, 0, len(c.running)+len(c.unreported))
 	for _, t := range c.running {
 		tasks = append(tasks, t.task)
 	}
-	for _, r := range c.unsettled {
+	for _, r := range c.unreported {
 		tasks = append(tasks, r.task)
 	}
 	slices.SortFunc(tasks, func(a, b model.Task) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -12,7 +12,7 @@
 	"pollenbend/internal/verdict"
 )
 
-const leaseTime = 10 * time.Second
+const leaseDuration = 10 * time.Second
 
 var (
 	epoch = time.Unix(0, 0)
@@ -28,11 +28,11 @@
 	return NewWorkerCore(epoch, w, WorkerSettings{}, NewHistory())
 }
 
-func renewal(ref platform.LeaseRef) platform.RenewRequest {
-	return platform.RenewRequest{Lease: ref, Duration: leaseTime}
+func renewRequest(ref platform.LeaseRef) platform.RenewRequest {
+	return platform.RenewRequest{Lease: ref, Duration: leaseDuration}
 }
 
-func startOf(ref platform.LeaseRef, seq uint64, id model.TaskID, runTime time.Duration) platform.StartRequest {
+func startRequest(ref platform.LeaseRef, seq uint64, id model.TaskID, runTime time.Duration) platform.StartRequest {
 	task := model.Task{ID: id, Demand: model.Resources{Slots: 1}, RunTime: runTime}
 	return platform.StartRequest{Lease: ref, Seq: seq, Task: task}
 }
@@ -44,7 +44,7 @@
 	return reply
 }
 
-func requireRefused(t *testing.T, code verdict.Code, err error) {
+func requireNotRun(t *testing.T, code verdict.Code, err error) {
 	t.Helper()
 	var e *verdict.Error
 	require.ErrorAs(t, err, &e)
@@ -52,9 +52,9 @@
 	require.Equal(t, code, e.Code)
 }
 
-func starts(h *History) int { return count(h, EventStart) }
+func countStarts(h *History) int { return countEvents(h, EventStart) }
 
-func count(h *History, kind EventKind) int {
+func countEvents(h *History, kind EventKind) int {
 	n := 0
 	for _, e := range h.Read(0).Events {
 		if e.Kind == kind {
@@ -81,22 +81,22 @@
 		{"none held", []step{{0, refA, false, true}}},
 		{"renewed", []step{{0, refA, false, true}, {9 * time.Second, refA, false, true}, {18 * time.Second, refB, false, false}}},
 		{"higher term does not override", []step{{0, refA, false, true}, {time.Second, refB, false, false}}},
-		{"holder goes on after a higher request", []step{{0, refA, false, true}, {time.Second, refB, false, false}, {2 * time.Second, refA, false, true}}},
-		{"lapsed", []step{{0, refA, false, true}, {leaseTime, refB, false, true}}},
-		{"lapsed holder with a lower term than seen", []step{{0, refA, false, true}, {time.Second, refB, false, false}, {leaseTime, refA, false, false}}},
-		{"lapsed holder takes it again", []step{{0, refA, false, true}, {leaseTime, refA, false, true}}},
+		{"holder renews after a request with a higher term", []step{{0, refA, false, true}, {time.Second, refB, false, false}, {2 * time.Second, refA, false, true}}},
+		{"expired", []step{{0, refA, false, true}, {leaseDuration, refB, false, true}}},
+		{"expired holder with a lower term than seen", []step{{0, refA, false, true}, {time.Second, refB, false, false}, {leaseDuration, refA, false, false}}},
+		{"expired holder acquires it again", []step{{0, refA, false, true}, {leaseDuration, refA, false, true}}},
 		{"released", []step{{0, refA, false, true}, {time.Second, refA, true, false}, {time.Second, refB, false, true}}},
 		{"released by another", []step{{0, refA, false, true}, {time.Second, refB, true, false}, {time.Second, refB, false, false}}},
-		{"holder raises its term", []step{{0, refA, false, true}, {0, ref("a", 1, 3), false, true}, {leaseTime, refB, false, false}}},
+		{"holder raises its term", []step{{0, refA, false, true}, {0, ref("a", 1, 3), false, true}, {leaseDuration, refB, false, false}}},
 		{"holder lowers its term", []step{{0, refB, false, true}, {0, ref("b", 1, 1), false, false}}},
-		{"restarted holder waits", []step{{0, refA, false, true}, {0, ref("a", 2, 2), false, false}, {leaseTime, ref("a", 2, 2), false, true}}},
-		{"term goes down after a lapse", []step{{0, refB, false, true}, {time.Hour, refA, false, false}}},
+		{"restarted holder waits", []step{{0, refA, false, true}, {0, ref("a", 2, 2), false, false}, {leaseDuration, ref("a", 2, 2), false, true}}},
+		{"term decreases after an expiry", []step{{0, refB, false, true}, {time.Hour, refA, false, false}}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newWorker(t)
 			for i, s := range tc.steps {
-				r := renewal(s.ref)
+				r := renewRequest(s.ref)
 				r.Release = s.release
 				require.Equal(t, s.granted, c.Renew(at(s.at), r).Granted, "step %d", i)
 			}
@@ -106,17 +106,18 @@
 
 func TestNotGrantedNamesHolder(t *testing.T) {
 	c := newWorker(t)
-	mustRenew(t, c, 0, renewal(refA))
-	require.Equal(t, platform.RenewReply{Current: refA}, c.Renew(epoch, renewal(refB)))
+	mustRenew(t, c, 0, renewRequest(refA))
+	require.Equal(t, platform.RenewReply{Current: refA}, c.Renew(epoch, renewRequest(refB)))
 }
 
-// TestNoDurationChangesNothing has a holder raise its term for no time.
-func TestNoDurationChangesNothing(t *testing.T) {
+// TestRenewWithoutDurationHasNoEffect checks that a renewal with a higher term
+// but no duration leaves the lease unchanged.
+func TestRenewWithoutDurationHasNoEffect(t *testing.T) {
 	c := newWorker(t)
-	mustRenew(t, c, 0, renewal(refA))
+	mustRenew(t, c, 0, renewRequest(refA))
 	raised := platform.RenewRequest{Lease: platform.LeaseRef{Holder: "a", Incarnation: 1, Term: 2}}
 	require.Equal(t, refA, c.Renew(epoch, raised).Current)
-	require.NoError(t, c.Start(epoch, startOf(refA, 1, "t", 0)))
+	require.NoError(t, c.Start(epoch, startRequest(refA, 1, "t", 0)))
 }
 
 func TestStartRefusals(t *testing.T) {
@@ -126,48 +127,48 @@
 		req  platform.StartRequest
 		code verdict.Code
 	}{
-		{"other holder", 0, startOf(refB, 9, "t", 0), verdict.CodeStaleAuthority},
-		{"other term", 0, startOf(platform.LeaseRef{Holder: "a", Incarnation: 1, Term: 2}, 9, "t", 0), verdict.CodeStaleAuthority},
-		{"lapsed", leaseTime, startOf(refA, 9, "t", 0), verdict.CodeStaleAuthority},
-		{"fenced", 0, startOf(refA, 5, "t", 0), verdict.CodeStaleAuthority},
+		{"other holder", 0, startRequest(refB, 9, "t", 0), verdict.CodeStaleAuthority},
+		{"other term", 0, startRequest(platform.LeaseRef{Holder: "a", Incarnation: 1, Term: 2}, 9, "t", 0), verdict.CodeStaleAuthority},
+		{"expired", leaseDuration, startRequest(refA, 9, "t", 0), verdict.CodeStaleAuthority},
+		{"fenced", 0, startRequest(refA, 5, "t", 0), verdict.CodeStaleAuthority},
 		{"other incarnation", 0, platform.StartRequest{Lease: refA, Seq: 9, WorkerIncarnation: 2}, verdict.CodeStaleAuthority},
-		{"no id", 0, startOf(refA, 9, "", 0), verdict.CodeBadRequest},
-		{"full", 0, startOf(refA, 9, "t", 0), verdict.CodeOverloaded},
+		{"no id", 0, startRequest(refA, 9, "", 0), verdict.CodeBadRequest},
+		{"full", 0, startRequest(refA, 9, "t", 0), verdict.CodeOverloaded},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newWorker(t)
-			r := renewal(refA)
+			r := renewRequest(refA)
 			r.Full, r.Fence = true, 5
 			mustRenew(t, c, 0, r)
-			require.NoError(t, c.Start(epoch, startOf(refA, 6, "x", time.Hour)))
-			require.NoError(t, c.Start(epoch, startOf(refA, 7, "y", time.Hour)))
-			requireRefused(t, tc.code, c.Start(at(tc.now), tc.req))
-			require.Equal(t, 2, starts(c.history))
+			require.NoError(t, c.Start(epoch, startRequest(refA, 6, "x", time.Hour)))
+			require.NoError(t, c.Start(epoch, startRequest(refA, 7, "y", time.Hour)))
+			requireNotRun(t, tc.code, c.Start(at(tc.now), tc.req))
+			require.Equal(t, 2, countStarts(c.history))
 		})
 	}
 }
 
 func TestStartIsIdempotent(t *testing.T) {
 	c := newWorker(t)
-	mustRenew(t, c, 0, renewal(refA))
-	req := startOf(refA, 1, "t", time.Second)
+	mustRenew(t, c, 0, renewRequest(refA))
+	req := startRequest(refA, 1, "t", time.Second)
 	require.NoError(t, c.Start(epoch, req))
 	require.NoError(t, c.Start(epoch, req), "running")
 	require.NoError(t, c.Start(at(2*time.Second), req), "finished")
-	require.NoError(t, c.Start(at(leaseTime), req), "finished, under a lapsed lease")
-	require.Equal(t, 1, starts(c.history))
+	require.NoError(t, c.Start(at(leaseDuration), req), "finished, under an expired lease")
+	require.Equal(t, 1, countStarts(c.history))
 	require.Zero(t, c.Used())
 }
 
 func TestOutcomesAndRetention(t *testing.T) {
 	c := newWorker(t)
-	mustRenew(t, c, 0, renewal(refA))
+	mustRenew(t, c, 0, renewRequest(refA))
 	for i := range 3 {
 		now := time.Duration(i) * time.Second
-		require.NoError(t, c.Start(at(now), startOf(refA, 1, model.TaskID(fmt.Sprint(i)), time.Second)))
+		require.NoError(t, c.Start(at(now), startRequest(refA, 1, model.TaskID(fmt.Sprint(i)), time.Second)))
 	}
-	r := renewal(refA)
+	r := renewRequest(refA)
 	r.Since = 1
 	reply := mustRenew(t, c, 3*time.Second, r)
 	require.EqualValues(t, 3, reply.Seq)
@@ -189,16 +190,16 @@
 		stopped bool
 	}{
 		{platform.StopKill, time.Second, true},
-		{platform.StopCheckpoint, time.Second + checkpointTime, true},
+		{platform.StopCheckpoint, time.Second + checkpointDuration, true},
 		{platform.StopThrottle, 19 * time.Second, false},
 	}
 	for _, tc := range cases {
 		t.Run(string(tc.mode), func(t *testing.T) {
 			c := newWorker(t)
-			r := renewal(refA)
+			r := renewRequest(refA)
 			r.Duration = time.Minute
 			mustRenew(t, c, 0, r)
-			require.NoError(t, c.Start(epoch, startOf(refA, 1, "t", 10*time.Second)))
+			require.NoError(t, c.Start(epoch, startRequest(refA, 1, "t", 10*time.Second)))
 			stop := platform.StopRequest{Lease: refA, Task: "t", Mode: tc.mode}
 			require.NoError(t, c.Stop(at(time.Second), stop))
 			c.Advance(at(tc.ends - 1))
@@ -208,23 +209,23 @@
 			require.Equal(t, tc.stopped, reply.Finished[0].Stopped)
 			require.NoError(t, c.Stop(at(tc.ends), stop), "ended")
 			stop.Task = "never"
-			requireRefused(t, verdict.CodeNotFound, c.Stop(at(tc.ends), stop))
+			requireNotRun(t, verdict.CodeNotFound, c.Stop(at(tc.ends), stop))
 			stop.Lease = refB
-			requireRefused(t, verdict.CodeStaleAuthority, c.Stop(at(tc.ends), stop))
+			requireNotRun(t, verdict.CodeStaleAuthority, c.Stop(at(tc.ends), stop))
 		})
 	}
 }
 
-func TestTaskLeaseLapses(t *testing.T) {
+func TestTaskLeaseExpires(t *testing.T) {
 	c := newWorker(t)
-	mustRenew(t, c, 0, renewal(refA))
-	require.NoError(t, c.Start(epoch, startOf(refA, 1, "t", time.Hour)))
+	mustRenew(t, c, 0, renewRequest(refA))
+	require.NoError(t, c.Start(epoch, startRequest(refA, 1, "t", time.Hour)))
 	next, ok := c.Next()
 	require.True(t, ok)
 	require.Equal(t, at(DefaultTaskLease), next)
 	c.Advance(next.Add(-1))
 	require.False(t, c.Used().IsZero())
-	r := renewal(refB)
+	r := renewRequest(refB)
 	r.Full = true
 	reply := mustRenew(t, c, DefaultTaskLease, r)
 	require.Empty(t, reply.Running)
@@ -234,23 +235,23 @@
 
 func TestTaskFaults(t *testing.T) {
 	c := newWorker(t)
-	mustRenew(t, c, 0, renewal(refA))
+	mustRenew(t, c, 0, renewRequest(refA))
 	c.SetFaults(epoch, WorkerFaults{FailEverything: true, ReportDelay: time.Second})
-	require.NoError(t, c.Start(epoch, startOf(refA, 1, "failing", time.Minute)))
-	c.Advance(at(quickFailure))
+	require.NoError(t, c.Start(epoch, startRequest(refA, 1, "failing", time.Minute)))
+	c.Advance(at(failedRunTime))
 	require.Zero(t, c.Used())
-	r := renewal(refA)
+	r := renewRequest(refA)
 	r.Full = true
-	reply := mustRenew(t, c, quickFailure, r)
+	reply := mustRenew(t, c, failedRunTime, r)
 	require.Len(t, reply.Running, 1, "not reported yet")
 	require.Empty(t, reply.Finished)
-	reply = mustRenew(t, c, quickFailure+time.Second, r)
+	reply = mustRenew(t, c, failedRunTime+time.Second, r)
 	require.Empty(t, reply.Running)
 	require.True(t, reply.Finished[0].Failed)
 
 	c.SetFaults(at(2*time.Second), WorkerFaults{CutAnswer: true})
-	require.NoError(t, c.Start(at(2*time.Second), startOf(refA, 2, "cut", time.Second)))
-	r = renewal(refA)
+	require.NoError(t, c.Start(at(2*time.Second), startRequest(refA, 2, "cut", time.Second)))
+	r = renewRequest(refA)
 	r.Since = reply.Seq
 	reply = mustRenew(t, c, 3*time.Second, r)
 	require.Len(t, reply.Finished, 1)
@@ -259,52 +260,53 @@
 
 func TestPausedWorker(t *testing.T) {
 	c := newWorker(t)
-	mustRenew(t, c, 0, renewal(refA))
-	require.NoError(t, c.Start(epoch, startOf(refA, 1, "t", time.Second)))
+	mustRenew(t, c, 0, renewRequest(refA))
+	require.NoError(t, c.Start(epoch, startRequest(refA, 1, "t", time.Second)))
 	c.SetFaults(epoch, WorkerFaults{Paused: true})
 	c.Advance(at(2 * time.Second))
 	require.False(t, c.Used().IsZero())
 	_, ok := c.Next()
 	require.False(t, ok)
-	c.SetFaults(at(leaseTime), WorkerFaults{})
+	c.SetFaults(at(leaseDuration), WorkerFaults{})
 	require.Zero(t, c.Used())
-	requireRefused(t, verdict.CodeStaleAuthority, c.Start(at(leaseTime), startOf(refA, 2, "u", 0)))
+	requireNotRun(t, verdict.CodeStaleAuthority, c.Start(at(leaseDuration), startRequest(refA, 2, "u", 0)))
 	events := c.history.Read(0).Events
-	require.Equal(t, at(leaseTime), events[2].At, "it ended at the wake-up")
+	require.Equal(t, at(leaseDuration), events[2].At, "the task ends when the worker resumes")
 }
 
-// TestHoldersRace has a paused holder wake after another took over.
+// TestHoldersRace checks that commands of a holder that was paused are refused
+// after another holder has acquired the lease.
 func TestHoldersRace(t *testing.T) {
 	c := newWorker(t)
-	fenced := renewal(refA)
+	fenced := renewRequest(refA)
 	fenced.Full, fenced.Fence = true, 5
 	mustRenew(t, c, 0, fenced)
-	require.NoError(t, c.Start(epoch, startOf(refA, 6, "t", time.Minute)))
-	require.False(t, c.Renew(at(leaseTime-1), renewal(refB)).Granted)
-	r := renewal(refB)
+	require.NoError(t, c.Start(epoch, startRequest(refA, 6, "t", time.Minute)))
+	require.False(t, c.Renew(at(leaseDuration-1), renewRequest(refB)).Granted)
+	r := renewRequest(refB)
 	r.Full = true
-	reply := mustRenew(t, c, leaseTime, r)
+	reply := mustRenew(t, c, leaseDuration, r)
 	require.Len(t, reply.Running, 1)
-	requireRefused(t, verdict.CodeStaleAuthority, c.Start(at(leaseTime), startOf(refA, 7, "u", 0)))
-	requireRefused(t, verdict.CodeStaleAuthority,
-		c.Stop(at(leaseTime), platform.StopRequest{Lease: refA, Task: "t", Mode: platform.StopKill}))
-	require.Equal(t, refB, c.Renew(at(leaseTime), renewal(refA)).Current)
-	require.NoError(t, c.Start(at(leaseTime), startOf(refB, 1, "t", 0)), "seen under the old holder")
-	require.Equal(t, 1, starts(c.history))
-	require.NoError(t, c.Start(at(leaseTime), startOf(refB, 1, "u", 0)), "the old holder's fence is gone")
-	require.Equal(t, 2, starts(c.history))
+	requireNotRun(t, verdict.CodeStaleAuthority, c.Start(at(leaseDuration), startRequest(refA, 7, "u", 0)))
+	requireNotRun(t, verdict.CodeStaleAuthority,
+		c.Stop(at(leaseDuration), platform.StopRequest{Lease: refA, Task: "t", Mode: platform.StopKill}))
+	require.Equal(t, refB, c.Renew(at(leaseDuration), renewRequest(refA)).Current)
+	require.NoError(t, c.Start(at(leaseDuration), startRequest(refB, 1, "t", 0)), "started under the previous holder")
+	require.Equal(t, 1, countStarts(c.history))
+	require.NoError(t, c.Start(at(leaseDuration), startRequest(refB, 1, "u", 0)), "the previous holder's fence no longer applies")
+	require.Equal(t, 2, countStarts(c.history))
 }
 
-func TestRestartForgets(t *testing.T) {
+func TestRestartClearsState(t *testing.T) {
 	c := newWorker(t)
-	mustRenew(t, c, 0, renewal(refB))
-	old := startOf(refB, 1, "t", time.Minute)
+	mustRenew(t, c, 0, renewRequest(refB))
+	old := startRequest(refB, 1, "t", time.Minute)
 	old.WorkerIncarnation = 1
 	require.NoError(t, c.Start(epoch, old))
 	c.Restart(at(time.Second))
 	require.Zero(t, c.Used())
-	requireRefused(t, verdict.CodeStaleAuthority, c.Start(at(time.Second), old))
-	r := renewal(refB)
+	requireNotRun(t, verdict.CodeStaleAuthority, c.Start(at(time.Second), old))
+	r := renewRequest(refB)
 	r.Full = true
 	reply := mustRenew(t, c, 2*time.Second, r)
 	require.EqualValues(t, 2, reply.Incarnation)
@@ -312,7 +314,7 @@
 	require.Zero(t, reply.Seq)
 	require.Empty(t, reply.Running)
 	require.Empty(t, reply.Seen)
-	requireRefused(t, verdict.CodeStaleAuthority, c.Start(at(2*time.Second), old))
-	require.Equal(t, 1, starts(c.history))
-	require.Equal(t, 1, count(c.history, EventEnd))
+	requireNotRun(t, verdict.CodeStaleAuthority, c.Start(at(2*time.Second), old))
+	require.Equal(t, 1, countStarts(c.history))
+	require.Equal(t, 1, countEvents(c.history, EventEnd))
 }
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -12,51 +12,52 @@
 	"pollenbend/internal/verdict"
 )
 
-// ErrUnreachable reports that a command did not get through. The caller can't
-// tell that from a lost answer.
+// ErrUnreachable reports that a command did not reach the worker. It carries no
+// verdict, since a client cannot distinguish this from a lost answer.
 var ErrUnreachable = errors.New("worker unreachable")
 
-// Workers runs a set of WorkerCores on the clock. It implements
-// platform.Workers in the process.
+// Workers runs a set of WorkerCores in real time. It implements platform.Workers
+// in-process.
 type Workers struct {
 	history *History
 	mu      sync.RWMutex
-	units   map[model.WorkerID]*unit
+	runners map[model.WorkerID]*workerRunner
 }
 
-// unit is one worker. Its timer ends tasks when they are due.
-type unit struct {
-	mu      sync.Mutex
-	core    *WorkerCore
-	timer   *time.Timer
-	changed chan struct{} // closed when the state changed
-	held    []func(time.Time, *WorkerCore)
+// workerRunner runs one WorkerCore in real time. Its timer advances the core when
+// a task is due.
+type workerRunner struct {
+	mu             sync.Mutex
+	core           *WorkerCore
+	timer          *time.Timer
+	changed        chan struct{} // closed by the next change of state
+	pausedCommands []func(time.Time, *WorkerCore)
 }
 
-// NewWorkers returns an empty set that records into h.
+// NewWorkers returns an empty set of workers that records events in h.
 func NewWorkers(h *History) *Workers {
-	return &Workers{history: h, units: map[model.WorkerID]*unit{}}
+	return &Workers{history: h, runners: map[model.WorkerID]*workerRunner{}}
 }
 
-// Add adds a worker; an existing one of the same id is replaced.
+// Add adds a worker. It replaces an existing one of the same id.
 func (s *Workers) Add(w model.Worker, settings WorkerSettings) {
-	u := &unit{
+	wr := &workerRunner{
 		core:    NewWorkerCore(time.Now(), w, settings, s.history),
 		changed: make(chan struct{}),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.units[w.ID] = u
+	s.runners[w.ID] = wr
 }
 
-// Do runs f on a worker's core at the present time. It reports whether there is
-// such a worker.
+// Do calls f with the current time and a worker's core. It returns false when
+// there is no such worker.
 func (s *Workers) Do(id model.WorkerID, f func(now time.Time, c *WorkerCore)) bool {
-	u := s.unit(id)
-	if u == nil {
+	wr := s.runner(id)
+	if wr == nil {
 		return false
 	}
-	u.do(f)
+	wr.do(f)
 	return true
 }
 
@@ -70,7 +71,7 @@
 	if !reply.Granted || r.Full || r.Wait <= 0 || len(reply.Finished) > 0 {
 		return reply, nil
 	}
-	if err := s.unit(w.ID).await(ctx, r); err != nil {
+	if err := s.runner(w.ID).waitForEvent(ctx, r); err != nil {
 		return platform.RenewReply{}, err
 	}
 	err = s.deliver(ctx, w.ID, func(now time.Time, c *WorkerCore) { reply = c.Report(now, r) })
@@ -105,96 +106,99 @@
 	return result
 }
 
-// deliver runs command on the worker's core. A paused worker runs it when it
-// wakes, also when ctx is done by then; a silent one never does.
+// deliver runs command on the worker's core and waits until it has run or ctx is
+// done. A paused worker runs it when it resumes, even if ctx is done by then; a
+// worker with the Silent fault never runs it.
 func (s *Workers) deliver(ctx context.Context, id model.WorkerID, command func(time.Time, *WorkerCore)) error {
-	u := s.unit(id)
-	if u == nil {
+	wr := s.runner(id)
+	if wr == nil {
 		return verdict.Refuse(verdict.CodeNotFound, "no worker %s", id)
 	}
-	ran, err := u.take(command)
+	done, err := wr.accept(command)
 	if err != nil {
 		return err
 	}
 	select {
-	case <-ran:
+	case <-done:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (s *Workers) unit(id model.WorkerID) *unit {
+func (s *Workers) runner(id model.WorkerID) *workerRunner {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.units[id]
+	return s.runners[id]
 }
 
-// take accepts a command. The channel is closed when the command ran.
-func (u *unit) take(command func(time.Time, *WorkerCore)) (<-chan struct{}, error) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	ran := make(chan struct{})
-	f := u.core.Faults()
+// accept runs or queues a command. The returned channel is closed when the
+// command has run.
+func (wr *workerRunner) accept(command func(time.Time, *WorkerCore)) (<-chan struct{}, error) {
+	wr.mu.Lock()
+	defer wr.mu.Unlock()
+	done := make(chan struct{})
+	f := wr.core.Faults()
 	switch {
 	case f.Unreachable:
 		return nil, ErrUnreachable
 	case f.Silent:
-		return ran, nil
+		return done, nil
 	case f.Paused:
-		u.held = append(u.held, func(now time.Time, c *WorkerCore) {
+		wr.pausedCommands = append(wr.pausedCommands, func(now time.Time, c *WorkerCore) {
 			command(now, c)
-			close(ran)
+			close(done)
 		})
-		return ran, nil
+		return done, nil
 	}
-	u.run(command)
-	close(ran)
-	return ran, nil
+	wr.runLocked(command)
+	close(done)
+	return done, nil
 }
 
-func (u *unit) do(f func(now time.Time, c *WorkerCore)) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.run(f)
+func (wr *workerRunner) do(f func(now time.Time, c *WorkerCore)) {
+	wr.mu.Lock()
+	defer wr.mu.Unlock()
+	wr.runLocked(f)
 }
 
-// run runs f, then the commands held during a pause that f ended, and sets the
-// timer for what is due next.
-func (u *unit) run(f func(now time.Time, c *WorkerCore)) {
-	f(time.Now(), u.core)
-	if !u.core.Faults().Paused {
-		for _, command := range u.held {
-			command(time.Now(), u.core)
+// runLocked calls f, then the commands queued during a pause if f ended it, and
+// resets the timer. The caller holds wr.mu.
+func (wr *workerRunner) runLocked(f func(now time.Time, c *WorkerCore)) {
+	f(time.Now(), wr.core)
+	if !wr.core.Faults().Paused {
+		for _, command := range wr.pausedCommands {
+			command(time.Now(), wr.core)
 		}
-		u.held = nil
+		wr.pausedCommands = nil
 	}
-	close(u.changed)
-	u.changed = make(chan struct{})
-	u.arm()
+	close(wr.changed)
+	wr.changed = make(chan struct{})
+	wr.resetTimer()
 }
 
-func (u *unit) arm() {
-	if u.timer != nil {
-		u.timer.Stop()
-		u.timer = nil
+// resetTimer sets the timer to the next time at which the core must advance.
+func (wr *workerRunner) resetTimer() {
+	if wr.timer != nil {
+		wr.timer.Stop()
+		wr.timer = nil
 	}
-	at, ok := u.core.Next()
+	at, ok := wr.core.Next()
 	if !ok {
 		return
 	}
-	u.timer = time.AfterFunc(time.Until(at), func() {
-		u.do(func(now time.Time, c *WorkerCore) { c.Advance(now) })
+	wr.timer = time.AfterFunc(time.Until(at), func() {
+		wr.do(func(now time.Time, c *WorkerCore) { c.Advance(now) })
 	})
 }
 
-// await waits for an event after r.Since, for the loss of the lease or for
-// r.Wait.
-func (u *unit) await(ctx context.Context, r platform.RenewRequest) error {
+// waitForEvent waits until there is an event after r.Since, the lease is lost or
+// r.Wait has passed.
+func (wr *workerRunner) waitForEvent(ctx context.Context, r platform.RenewRequest) error {
 	timeout := time.NewTimer(r.Wait)
 	defer timeout.Stop()
 	for {
-		ready, changed := u.ready(r)
+		ready, changed := wr.ready(r)
 		if ready {
 			return nil
 		}
@@ -208,9 +212,11 @@
 	}
 }
 
-func (u *unit) ready(r platform.RenewRequest) (bool, <-chan struct{}) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	ref, held := u.core.Lease(time.Now())
-	return !held || ref != r.Lease || u.core.HasEvent(r.Since), u.changed
+// ready reports whether the wait of r has ended, and returns the channel that the
+// next change of state closes.
+func (wr *workerRunner) ready(r platform.RenewRequest) (bool, <-chan struct{}) {
+	wr.mu.Lock()
+	defer wr.mu.Unlock()
+	ref, held := wr.core.Lease(time.Now())
+	return !held || ref != r.Lease || wr.core.HasEvent(r.Since), wr.changed
 }
