--- a/internal/transport/identity.go
+++ b/internal/transport/identity.go
@@ -17,7 +17,7 @@
 	"pollenbend/internal/model"
 )
 
-// protocol is the ALPN name of the protocol between instances.
+// alpnProtocol is the ALPN name of the protocol between instances.
 const alpnProtocol = "pollenbend/1"
 
 // Identity holds the credentials of an instance in PEM: the certificate of the
@@ -55,7 +55,7 @@
 	return server, client, nil
 }
 
-// certified reports whether the verified peer certificate was issued to id.
+// issuedTo reports whether the verified peer certificate was issued to id.
 func issuedTo(state tls.ConnectionState, id model.InstanceID) bool {
 	if len(state.PeerCertificates) == 0 {
 		return false
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -47,7 +47,7 @@
 
 	pingRequests    chan struct{}
 	pongs           atomic.Uint64
-	sentSincePing   atomic.Bool   // payloads were queued since the last ping
+	queuedSincePing atomic.Bool   // payloads were queued since the last ping
 	orderedDone     chan struct{} // closed when the peer has confirmed every ordered payload
 	orderedDoneOnce sync.Once
 	bulkDone        chan struct{} // closed when every bulk payload is confirmed or lost
@@ -91,7 +91,7 @@
 	select {
 	case queue <- payload:
 		l.queuedBytes += int64(len(payload))
-		l.sentSincePing.Store(true)
+		l.queuedSincePing.Store(true)
 		return true
 	default:
 		return false
@@ -172,7 +172,7 @@
 			_ = l.conn.CloseWithError(codeTimedOut, errHeartbeatTimeout.Error())
 			return
 		}
-		if h.pingDue(now, l.sentSincePing.Load()) {
+		if h.pingDue(now, l.queuedSincePing.Load()) {
 			l.requestPing(&h, now)
 		}
 	}
@@ -181,7 +181,7 @@
 // requestPing makes writeOrdered send a ping, unless one is already waiting to be
 // written.
 func (l *link) requestPing(h *heartbeat, now time.Time) {
-	l.sentSincePing.Store(false)
+	l.queuedSincePing.Store(false)
 	select {
 	case l.pingRequests <- struct{}{}:
 		h.recordPing(now)
