--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -11,16 +11,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Expectation is the outcomes that a file states. What it leaves out is not
-// compared.
+// Expectation holds the expected outcomes from a file. Fields that the file omits
+// are not compared.
 type Expectation struct {
 	Version *uint64             `toml:"version"`
 	Actions map[string]int      `toml:"actions"`
 	Answers map[string][]string `toml:"answers"`
 }
 
-// ParseExpectation reads an expectation in TOML. It returns an error for an
-// unknown key or a value of the wrong form.
+// ParseExpectation parses an expectation in TOML. It returns an error for an
+// unknown key or a value of the wrong type.
 func ParseExpectation(data []byte) (Expectation, error) {
 	var e Expectation
 	decoder := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
@@ -34,33 +34,33 @@
 	return e, nil
 }
 
-// Marshal writes the outcomes as a file that ParseExpectation reads.
+// Marshal returns the outcomes in the TOML format that ParseExpectation reads.
 func (o Outcomes) Marshal() ([]byte, error) {
 	data, err := toml.Marshal(o)
 	return data, errors.Wrap(err, "write outcomes")
 }
 
-// Compare returns one line for each outcome that differs from the expected one,
-// in a fixed order.
+// Compare returns one line for each outcome that differs from the expectation, in
+// a fixed order.
 func (e Expectation) Compare(got Outcomes) []string {
-	var misses []string
+	var differences []string
 	if e.Version != nil && *e.Version != got.Version {
-		misses = append(misses, fmt.Sprintf("version: expected %d, got %d", *e.Version, got.Version))
+		differences = append(differences, fmt.Sprintf("version: expected %d, got %d", *e.Version, got.Version))
 	}
 	for _, k := range slices.Sorted(maps.Keys(e.Actions)) {
 		if got.Actions[k] != e.Actions[k] {
-			misses = append(misses, fmt.Sprintf("actions.%s: expected %d, got %d", k, e.Actions[k], got.Actions[k]))
+			differences = append(differences, fmt.Sprintf("actions.%s: expected %d, got %d", k, e.Actions[k], got.Actions[k]))
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(e.Answers)) {
 		if !slices.Equal(got.Answers[id], e.Answers[id]) {
-			misses = append(misses, fmt.Sprintf("answers.%s: expected %s, got %s", id, list(e.Answers[id]), list(got.Answers[id])))
+			differences = append(differences, fmt.Sprintf("answers.%s: expected %s, got %s", id, joinVerdicts(e.Answers[id]), joinVerdicts(got.Answers[id])))
 		}
 	}
-	return misses
+	return differences
 }
 
-func list(verdicts []string) string {
+func joinVerdicts(verdicts []string) string {
 	if len(verdicts) == 0 {
 		return "none"
 	}
--- a/internal/replay/drive_test.go
+++ b/internal/replay/drive_test.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	driveTick     = 200 * time.Millisecond
-	listEvery     = 10 * time.Second
-	workersKept   = 8 // one of so many workers of an example is driven
-	cappedRuntime = 4 * time.Second
+	tickInterval  = 200 * time.Millisecond
+	listInterval  = 10 * time.Second
+	workerStride  = 8 // one in this many workers of an example takes part
+	cappedRunTime = 4 * time.Second
 	cappedTimeout = 6 * time.Second
 )
 
-// driver answers a recorded core's actions with a log and stand-in workers, in
-// virtual time.
+// driver runs a recorded core in virtual time and carries out its actions with a
+// log in memory and stand-in workers.
 type driver struct {
 	t        *testing.T
 	example  example.Example
@@ -38,27 +38,27 @@
 	recorder *Recorder
 	actions  bytes.Buffer
 
-	began   time.Time // time of day at now 0
-	now     time.Duration
-	log     []platform.Entry
-	unread  bool
-	listing platform.Listing
-	listAt  time.Duration
-	workers []*drivenWorker
-	handles uint64
+	startTime   time.Time // time of day at now 0
+	now         time.Duration
+	log         []platform.Entry
+	logChanged  bool
+	listing     platform.Listing
+	nextListing time.Duration
+	workers     []*testWorker
+	lastHandle  uint64
 }
 
-type drivenWorker struct {
+type testWorker struct {
 	*standin.WorkerCore
-	held []heldRenew
+	openRenewals []openRenewal
 }
 
-type heldRenew struct {
+type openRenewal struct {
 	request platform.RenewRequest
 	sentAt  time.Duration
 }
 
-func newDriver(t *testing.T, name string, began time.Time, out *bytes.Buffer) *driver {
+func newDriver(t *testing.T, name string, startTime time.Time, out *bytes.Buffer) *driver {
 	e, err := examples.Load(name)
 	require.NoError(t, err)
 	self := platform.Instance{ID: "a", Incarnation: 1}
@@ -72,18 +72,18 @@
 	require.NoError(t, err)
 	recorder, err := NewRecorder(out, o, keys)
 	require.NoError(t, err)
-	d := &driver{t: t, example: e, core: c, recorder: recorder, began: began, unread: true}
+	d := &driver{t: t, example: e, core: c, recorder: recorder, startTime: startTime, logChanged: true}
 	d.listing = platform.Listing{Version: 1, Instances: []platform.Instance{self}}
 	for i, w := range e.Platform.Workers() {
-		if i%workersKept == 0 {
+		if i%workerStride == 0 {
 			d.listing.Workers = append(d.listing.Workers, w)
-			d.workers = append(d.workers, &drivenWorker{WorkerCore: standin.NewWorkerCore(began, w, standin.WorkerSettings{}, &standin.History{})})
+			d.workers = append(d.workers, &testWorker{WorkerCore: standin.NewWorkerCore(startTime, w, standin.WorkerSettings{}, &standin.History{})})
 		}
 	}
 	return d
 }
 
-func (d *driver) wall() time.Time { return d.began.Add(d.now) }
+func (d *driver) wallTime() time.Time { return d.startTime.Add(d.now) }
 
 func (d *driver) step(e event.Event) {
 	require.NoError(d.t, d.recorder.Record(d.now, e))
@@ -92,32 +92,32 @@
 		require.NoError(d.t, writeAction(&d.actions, a))
 	}
 	for _, a := range actions {
-		d.act(a)
+		d.handleAction(a)
 	}
 }
 
-func (d *driver) act(a event.Action) {
+func (d *driver) handleAction(a event.Action) {
 	switch a := a.(type) {
 	case event.Append:
 		data, err := wire.EncodeEntry(a.Records)
 		require.NoError(d.t, err)
 		offset := uint64(len(d.log) + 1)
 		d.log = append(d.log, platform.Entry{Offset: offset, Data: data})
-		d.unread = true
+		d.logChanged = true
 		d.step(event.AppendDone{ID: a.ID, Offset: offset, Verdict: verdict.Done})
 	case event.Renew:
 		d.renew(a)
 	case event.Start:
-		err := d.worker(a.Worker.ID).Start(d.wall(), a.Request)
+		err := d.worker(a.Worker.ID).Start(d.wallTime(), a.Request)
 		d.step(event.StartDone{
 			Worker: a.Worker.ID, Lease: a.Request.Lease, Seq: a.Request.Seq, Task: a.Request.Task.ID, Verdict: verdict.Of(err),
 		})
 	case event.Stop:
-		require.NoError(d.t, d.worker(a.Worker.ID).Stop(d.wall(), a.Request))
+		require.NoError(d.t, d.worker(a.Worker.ID).Stop(d.wallTime(), a.Request))
 	}
 }
 
-func (d *driver) worker(id model.WorkerID) *drivenWorker {
+func (d *driver) worker(id model.WorkerID) *testWorker {
 	for _, w := range d.workers {
 		if w.Worker().ID == id {
 			return w
@@ -127,62 +127,62 @@
 	return nil
 }
 
-// renew answers at once what is not to be held.
+// renew answers a renewal at once or keeps it open until the worker has an event.
 func (d *driver) renew(a event.Renew) {
 	w := d.worker(a.Worker.ID)
-	reply := w.Renew(d.wall(), a.Request)
+	reply := w.Renew(d.wallTime(), a.Request)
 	switch {
 	case a.Request.Release:
 	case a.Request.Full || !reply.Granted || w.HasEvent(a.Request.Since):
-		d.renewed(w, heldRenew{a.Request, d.now}, reply)
+		d.finishRenewal(w, openRenewal{a.Request, d.now}, reply)
 	default:
-		w.held = append(w.held, heldRenew{a.Request, d.now})
+		w.openRenewals = append(w.openRenewals, openRenewal{a.Request, d.now})
 	}
 }
 
-func (d *driver) renewed(w *drivenWorker, h heldRenew, reply platform.RenewReply) {
+func (d *driver) finishRenewal(w *testWorker, h openRenewal, reply platform.RenewReply) {
 	d.step(event.RenewDone{Worker: w.Worker().ID, Lease: h.request.Lease, Full: h.request.Full, SentAt: h.sentAt, Reply: reply})
 }
 
-// run lets virtual time pass until the given time of day.
-func (d *driver) run(until time.Time) {
-	for d.wall().Before(until) {
-		d.now += driveTick
-		if d.unread || d.now%time.Second == 0 {
-			d.unread = false
+// runUntil advances the virtual time to end.
+func (d *driver) runUntil(end time.Time) {
+	for d.wallTime().Before(end) {
+		d.now += tickInterval
+		if d.logChanged || d.now%time.Second == 0 {
+			d.logChanged = false
 			from := min(d.core.NextOffset()-1, uint64(len(d.log)))
 			d.step(event.LogRead{Entries: d.log[from:], Oldest: 1, Next: uint64(len(d.log) + 1), AskedAt: d.now})
 		}
-		if d.now >= d.listAt {
-			d.listAt = d.now + listEvery
+		if d.now >= d.nextListing {
+			d.nextListing = d.now + listInterval
 			d.step(event.Listed{Listing: d.listing})
 		}
-		d.releaseHeld()
-		d.step(event.Tick{Wall: d.wall()})
+		d.answerOpenRenewals()
+		d.step(event.Tick{Wall: d.wallTime()})
 	}
 }
 
-func (d *driver) releaseHeld() {
+func (d *driver) answerOpenRenewals() {
 	for _, w := range d.workers {
-		w.Advance(d.wall())
-		held := w.held
-		w.held = nil
-		for _, h := range held {
+		w.Advance(d.wallTime())
+		open := w.openRenewals
+		w.openRenewals = nil
+		for _, h := range open {
 			if w.HasEvent(h.request.Since) || d.now >= h.sentAt+h.request.Wait {
-				d.renewed(w, h, w.Report(d.wall(), h.request))
+				d.finishRenewal(w, h, w.Report(d.wallTime(), h.request))
 			} else {
-				w.held = append(w.held, h)
+				w.openRenewals = append(w.openRenewals, h)
 			}
 		}
 	}
 }
 
 func (d *driver) request(r model.Request) {
-	d.handles++
-	d.step(event.RequestIn{Handle: d.handles, Request: r})
+	d.lastHandle++
+	d.step(event.RequestIn{Handle: d.lastHandle, Request: r})
 }
 
-// sendExample sends the example's requests, under ids that begin with prefix.
+// sendExample sends the example's requests with ids that begin with prefix.
 func (d *driver) sendExample(prefix string) {
 	for i, r := range d.example.Requests {
 		key := ""
@@ -196,13 +196,13 @@
 	}
 }
 
-// sendCapped sends three requests of one team that all end in time only if they
-// may run together.
+// sendCapped sends three requests of one team. All three finish before their
+// timeout only if the team's limit lets them run at the same time.
 func (d *driver) sendCapped(prefix, key string) {
 	for i := range 3 {
 		d.request(model.Request{
 			Op: model.OpCall, ID: fmt.Sprintf("%s-capped-%d", prefix, i), Key: key,
-			Task: model.Task{Demand: model.Resources{MilliCPU: 100, MemoryMiB: 64}, RunTime: cappedRuntime}, Timeout: cappedTimeout,
+			Task: model.Task{Demand: model.Resources{MilliCPU: 100, MemoryMiB: 64}, RunTime: cappedRunTime}, Timeout: cappedTimeout,
 		})
 	}
 }
--- a/internal/replay/events.go
+++ b/internal/replay/events.go
@@ -10,11 +10,11 @@
 	"pollenbend/internal/wire"
 )
 
-// kind names a kind of event in a trace.
+// kind is the name of an event type in a trace.
 type kind string
 
-// peerMessage is the recorded form of event.PeerMessage: the message in the
-// encoding that instances send each other.
+// peerMessage is the recorded form of event.PeerMessage. Message is encoded as it
+// is between instances.
 type peerMessage struct {
 	From    wire.Owner
 	Message []byte
@@ -22,8 +22,9 @@
 
 const kindPeerMessage kind = "peer_message"
 
-// samples has one event of each kind whose own fields are recorded.
-var samples = map[kind]event.Event{
+// sampleEvents has one event of each kind that is recorded as the JSON of its own
+// fields.
+var sampleEvents = map[kind]event.Event{
 	"tick":          event.Tick{},
 	"log_read":      event.LogRead{},
 	"append_done":   event.AppendDone{},
@@ -36,11 +37,11 @@
 	"drain_started": event.DrainStarted{},
 }
 
-var kinds = kindsByType()
+var kindByType = newKindByType()
 
-func kindsByType() map[reflect.Type]kind {
-	byType := make(map[reflect.Type]kind, len(samples))
-	for k, e := range samples {
+func newKindByType() map[reflect.Type]kind {
+	byType := make(map[reflect.Type]kind, len(sampleEvents))
+	for k, e := range sampleEvents {
 		byType[reflect.TypeOf(e)] = k
 	}
 	return byType
@@ -55,7 +56,7 @@
 		body, err := json.Marshal(peerMessage{From: m.From, Message: data})
 		return kindPeerMessage, body, err
 	}
-	k, ok := kinds[reflect.TypeOf(e)]
+	k, ok := kindByType[reflect.TypeOf(e)]
 	if !ok {
 		return "", nil, errors.Newf("events of type %T are not recorded", e)
 	}
@@ -67,7 +68,7 @@
 	if k == kindPeerMessage {
 		return decodePeerMessage(body)
 	}
-	sample, ok := samples[k]
+	sample, ok := sampleEvents[k]
 	if !ok {
 		return nil, errors.Newf("unknown kind of event %q", k)
 	}
--- a/internal/replay/events_test.go
+++ b/internal/replay/events_test.go
@@ -14,8 +14,7 @@
 	"pollenbend/internal/wire"
 )
 
-// TestEventsReadAsTheyWereRecorded takes each kind of event through its recorded
-// form.
+// TestEventsReadAsTheyWereRecorded encodes and decodes an event of each kind.
 func TestEventsReadAsTheyWereRecorded(t *testing.T) {
 	events := []event.Event{
 		event.Tick{Wall: time.Date(2026, 10, 25, 1, 0, 0, 7, time.UTC)},
@@ -30,7 +29,7 @@
 		event.RequestGone{Handle: 1},
 		event.DrainStarted{},
 	}
-	require.Len(t, events, len(samples)+1)
+	require.Len(t, events, len(sampleEvents)+1)
 	for _, e := range events {
 		k, body, err := encodeEvent(e)
 		require.NoError(t, err)
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -16,46 +16,46 @@
 	"pollenbend/internal/service"
 )
 
-// Outcomes is what came of a trace.
+// Outcomes summarizes the replay of a trace.
 type Outcomes struct {
-	// Version is that of the configuration at the end.
+	// Version is the version of the configuration at the end.
 	Version uint64 `toml:"version" comment:"Version of the configuration at the end."`
 	// Actions counts the actions by kind.
 	Actions map[string]int `toml:"actions" comment:"Actions by kind."`
-	// Answers holds each request's verdict, with its code if it has one, by
-	// request id. Several answers under one id stand in their order.
+	// Answers holds the verdicts of each request by request id, each followed by
+	// its code if it has one, in the order of the answers.
 	Answers map[string][]string `toml:"answers" comment:"Verdicts, each with its code, by request id."`
 }
 
-// Run replays a trace and returns what came of it. It writes each action to
-// actions as a line of JSON, unless actions is nil. It returns an error when the
-// trace cannot be read.
+// Run replays a trace and returns its outcomes. Unless actions is nil, it writes
+// each action to it as a line with the action's kind and its JSON. It returns an
+// error when the trace cannot be read or an action cannot be written.
 func Run(t *Trace, actions io.Writer) (Outcomes, error) {
 	c, err := core.New(t.Options)
 	if err != nil {
 		return Outcomes{}, err
 	}
-	out := newOutcomes()
+	outcomes := newOutcomes()
 	for {
 		at, e, err := t.Next()
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
-			return out, err
+			return outcomes, err
 		}
 		for _, a := range c.Step(at, e) {
-			out.note(a)
+			outcomes.record(a)
 			if err := writeAction(actions, a); err != nil {
-				return out, err
+				return outcomes, err
 			}
 		}
 	}
-	out.Version, err = versionOf(c)
-	return out, err
+	outcomes.Version, err = configVersion(c)
+	return outcomes, err
 }
 
-func versionOf(c *core.Core) (uint64, error) {
+func configVersion(c *core.Core) (uint64, error) {
 	config, err := kernel.Find[interface {
 		Document() (model.Declarations, uint64)
 	}](c.Kernel(), service.Config)
@@ -70,7 +70,7 @@
 	return Outcomes{Actions: map[string]int{}, Answers: map[string][]string{}}
 }
 
-func (o *Outcomes) note(a event.Action) {
+func (o *Outcomes) record(a event.Action) {
 	o.Actions[kindOf(a)]++
 	if r, ok := a.(event.Respond); ok && r.Answer.ID != "" {
 		o.Answers[r.Answer.ID] = append(o.Answers[r.Answer.ID], verdictOf(r.Answer))
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -17,17 +17,18 @@
 
 var update = flag.Bool("update", false, "record the traces in testdata/replay again")
 
-// workload is an example whose trace goes over a change of the clocks. One team
-// may run one task at a time in hours that the change meets.
+// workload is an example whose trace spans a change to or from summer time. A
+// policy limits one team to one task at a time during hours that contain the
+// change.
 type workload struct {
 	example, trace string
 	key            string // of the capped team
-	night          model.Policy
-	instants       []time.Time // at which the hours begin or end, or the clocks change
-	capped         []bool      // whether the limit holds before the first and after each instant
+	policy         model.Policy
+	boundaries     []time.Time // when the limited hours begin or end, or the clocks change
+	capped         []bool      // whether the limit applies before the first and after each boundary
 }
 
-func utc(text string) time.Time {
+func mustParseTime(text string) time.Time {
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
 		panic(err)
@@ -38,83 +39,83 @@
 var workloads = []workload{
 	{
 		example: "guild", trace: "guild-summer-time-ends", key: "waterford-desk",
-		night: model.Policy{
+		policy: model.Policy{
 			Name: "waterford-night", Team: "waterford-salons", TimeZone: "Europe/Dublin",
 			From: 90 * time.Minute, Until: 150 * time.Minute, Limit: 1,
 		},
-		// 01:30 in summer time, 02:00 becomes 01:00, 01:30 again, 02:30.
-		instants: []time.Time{utc("2026-10-25T00:30:00Z"), utc("2026-10-25T01:00:00Z"), utc("2026-10-25T01:30:00Z"), utc("2026-10-25T02:30:00Z")},
-		capped:   []bool{false, true, false, true, false},
+		// 01:30 summer time; 02:00, when the clocks go back to 01:00; 01:30 again; 02:30.
+		boundaries: []time.Time{mustParseTime("2026-10-25T00:30:00Z"), mustParseTime("2026-10-25T01:00:00Z"), mustParseTime("2026-10-25T01:30:00Z"), mustParseTime("2026-10-25T02:30:00Z")},
+		capped:     []bool{false, true, false, true, false},
 	},
 	{
 		example: "styrkeled", trace: "styrkeled-summer-time-begins", key: "nykoebing-coach",
-		night: model.Policy{
+		policy: model.Policy{
 			Name: "nykoebing-night", Team: "nykoebing-house", TimeZone: "Europe/Copenhagen",
 			From: 150 * time.Minute, Until: 210 * time.Minute, Limit: 1,
 		},
-		// 02:00 becomes 03:00, in the middle of the hours; 03:30.
-		instants: []time.Time{utc("2026-03-29T01:00:00Z"), utc("2026-03-29T01:30:00Z")},
-		capped:   []bool{false, true, false},
+		// 02:00, when the clocks go forward to 03:00 within the limited hours; 03:30.
+		boundaries: []time.Time{mustParseTime("2026-03-29T01:00:00Z"), mustParseTime("2026-03-29T01:30:00Z")},
+		capped:     []bool{false, true, false},
 	},
 }
 
-// record drives a core through a workload. It returns the trace and the actions.
+// record runs a core through the workload and returns the trace and the actions.
 func (w workload) record(t *testing.T) (trace, actions []byte) {
 	const before, after = 20 * time.Second, 15 * time.Second
 	var out bytes.Buffer
-	d := newDriver(t, w.example, w.instants[0].Add(-before), &out)
+	d := newDriver(t, w.example, w.boundaries[0].Add(-before), &out)
 	put := d.example.Declarations
-	put.Policies = append(put.Policies, w.night)
-	d.run(w.instants[0].Add(3*time.Second - before))
+	put.Policies = append(put.Policies, w.policy)
+	d.runUntil(w.boundaries[0].Add(3*time.Second - before))
 	d.request(model.Request{Op: model.OpApply, Change: &model.Change{ID: "declare", Put: put}})
-	for i, at := range w.instants {
-		d.now = max(d.now, at.Add(-before).Sub(d.began))
-		d.run(at.Add(-10 * time.Second))
+	for i, at := range w.boundaries {
+		d.now = max(d.now, at.Add(-before).Sub(d.startTime))
+		d.runUntil(at.Add(-10 * time.Second))
 		d.sendCapped(at.Format("15:04")+"-before", d.example.Secret(w.key))
-		d.run(at.Add(driveTick))
+		d.runUntil(at.Add(tickInterval))
 		d.sendCapped(at.Format("15:04")+"-after", d.example.Secret(w.key))
 		d.sendExample(at.Format("15:04"))
-		d.run(at.Add(after))
+		d.runUntil(at.Add(after))
 		if i == 0 {
 			d.request(model.Request{Op: model.OpCall, ID: "no-key", Key: "pb_no_key_of_ours", Service: d.example.Requests[0].Service})
 		}
 	}
 	d.request(model.Request{Op: model.OpApply, Key: d.example.OperatorSecret(), Change: &model.Change{
-		ID: "withdraw", Base: version(t, d), Delete: []model.ObjectRef{{Kind: model.ObjectKey, Name: w.key}},
+		ID: "withdraw", Base: currentVersion(t, d), Delete: []model.ObjectRef{{Kind: model.ObjectKey, Name: w.key}},
 	}})
-	d.run(d.wall().Add(time.Second))
+	d.runUntil(d.wallTime().Add(time.Second))
 	d.sendCapped("withdrawn", d.example.Secret(w.key))
 	require.NoError(t, d.recorder.Flush())
 	return out.Bytes(), d.actions.Bytes()
 }
 
-func version(t *testing.T, d *driver) uint64 {
-	v, err := versionOf(d.core)
+func currentVersion(t *testing.T, d *driver) uint64 {
+	v, err := configVersion(d.core)
 	require.NoError(t, err)
 	return v
 }
 
-func run(t *testing.T, trace []byte) (Outcomes, []byte) {
+func replayTrace(t *testing.T, trace []byte) (Outcomes, []byte) {
 	tr, err := NewTrace(bytes.NewReader(trace))
 	require.NoError(t, err)
 	var actions bytes.Buffer
-	got, err := Run(tr, &actions)
+	outcomes, err := Run(tr, &actions)
 	require.NoError(t, err)
-	return got, actions.Bytes()
+	return outcomes, actions.Bytes()
 }
 
-// firstDifference returns the first lines that differ, or nothing.
+// firstDifference returns the first pair of lines that differ, or an empty string.
 func firstDifference(a, b []byte) string {
 	if bytes.Equal(a, b) {
 		return ""
 	}
-	left, right := strings.Split(string(a), "\n"), strings.Split(string(b), "\n")
-	for i := range min(len(left), len(right)) {
-		if left[i] != right[i] {
-			return left[i] + "\n" + right[i]
+	linesA, linesB := strings.Split(string(a), "\n"), strings.Split(string(b), "\n")
+	for i := range min(len(linesA), len(linesB)) {
+		if linesA[i] != linesB[i] {
+			return linesA[i] + "\n" + linesB[i]
 		}
 	}
-	return "one ends first"
+	return "one is longer than the other"
 }
 
 func (w workload) path(suffix string) string {
@@ -125,11 +126,11 @@
 	for _, w := range workloads {
 		t.Run(w.trace, func(t *testing.T) {
 			trace, live := w.record(t)
-			got, replayed := run(t, trace)
-			require.Empty(t, firstDifference(live, replayed), "the replay acts as the recorded core did")
+			got, replayed := replayTrace(t, trace)
+			require.Empty(t, firstDifference(live, replayed), "the replay returns the actions of the recorded core")
 			w.checkHours(t, got)
 			for _, k := range w.secrets(t) {
-				require.NotContains(t, string(trace), k, "a trace holds no secret")
+				require.NotContains(t, string(trace), k, "a trace contains no secret")
 			}
 			if *update {
 				expected, err := got.Marshal()
@@ -142,7 +143,7 @@
 	}
 }
 
-// secrets lists the secrets that callers presented, known or not.
+// secrets returns the secrets that callers present, including the unknown one.
 func (w workload) secrets(t *testing.T) []string {
 	d := newDriver(t, w.example, time.Time{}, &bytes.Buffer{})
 	secrets := []string{"pb_no_key_of_ours"}
@@ -152,9 +153,9 @@
 	return secrets
 }
 
-// checkHours compares what became of the capped requests with the hours.
+// checkHours checks that the team's limit held exactly during the limited hours.
 func (w workload) checkHours(t *testing.T, got Outcomes) {
-	for i, at := range w.instants {
+	for i, at := range w.boundaries {
 		for suffix, capped := range map[string]bool{"-before": w.capped[i], "-after": w.capped[i+1]} {
 			done := 0
 			for id, verdicts := range got.Answers {
@@ -182,9 +183,9 @@
 			require.NoError(t, err)
 			expected, err := ParseExpectation(stated)
 			require.NoError(t, err)
-			got, actions := run(t, trace)
+			got, actions := replayTrace(t, trace)
 			require.Empty(t, expected.Compare(got))
-			_, again := run(t, trace)
+			_, again := replayTrace(t, trace)
 			require.Empty(t, firstDifference(actions, again), "the same trace gives the same actions")
 		})
 	}
@@ -212,23 +213,23 @@
 }
 
 func TestTraceFaults(t *testing.T) {
-	const head = `{"format":1,"self":{"id":"a"}}` + "\n"
-	for text, fault := range map[string]string{
+	const headerLine = `{"format":1,"self":{"id":"a"}}` + "\n"
+	for trace, wantError := range map[string]string{
 		"":             "header",
 		`{"format":9}`: "format 9",
-		head + `{"at_ns":1,"kind":"nonsense","event":{}}`:                                     "nonsense",
-		head + `{"at_ns":1,"kind":"tick","event":{"Wall":7}}`:                                 "trace event 1",
-		head + `{"at_ns":1,"kind":"peer_message","event":{"Message":"AA=="}}`:                 "trace event 1",
-		head + `{"at_ns":1,"kind":"tick","event":{}}` + "\n" + `{"at_ns":2,"kind":"tick","ev`: "",
+		headerLine + `{"at_ns":1,"kind":"nonsense","event":{}}`:                                     "nonsense",
+		headerLine + `{"at_ns":1,"kind":"tick","event":{"Wall":7}}`:                                 "trace event 1",
+		headerLine + `{"at_ns":1,"kind":"peer_message","event":{"Message":"AA=="}}`:                 "trace event 1",
+		headerLine + `{"at_ns":1,"kind":"tick","event":{}}` + "\n" + `{"at_ns":2,"kind":"tick","ev`: "",
 	} {
-		tr, err := NewTrace(strings.NewReader(text))
+		tr, err := NewTrace(strings.NewReader(trace))
 		if err == nil {
 			_, err = Run(tr, io.Discard)
 		}
-		if fault == "" {
-			require.NoError(t, err, text)
+		if wantError == "" {
+			require.NoError(t, err, trace)
 			continue
 		}
-		require.ErrorContains(t, err, fault, text)
+		require.ErrorContains(t, err, wantError, trace)
 	}
 }
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -1,6 +1,6 @@
-// Package replay records the events that enter a decision core, runs them again
-// through the same core and compares what came of them. A trace is text: a
-// header, then one event a line, as JSON.
+// Package replay records the events that a decision core handles, replays them
+// through a new core and compares the outcomes. A trace is a text file of JSON
+// lines: a header, then one event per line.
 package replay
 
 import (
@@ -16,10 +16,10 @@
 	"pollenbend/internal/platform"
 )
 
-// traceFormat is the version of the trace's layout.
+// traceFormat is the version of the trace format.
 const traceFormat = 1
 
-// header is the first line of a trace: what the core was made with.
+// header is the first line of a trace: the options of the recorded core.
 type header struct {
 	Format int               `json:"format"`
 	Self   platform.Instance `json:"self"`
@@ -27,35 +27,37 @@
 	Seed   uint64            `json:"seed"`
 }
 
-// line is one event. At is the time of the core's clock in nanoseconds.
-type line struct {
+// traceLine is one event. At is the time on the core's clock; it is written in
+// nanoseconds.
+type traceLine struct {
 	At    time.Duration   `json:"at_ns"`
 	Kind  kind            `json:"kind"`
 	Event json.RawMessage `json:"event"`
 }
 
-// Recorder writes a trace. It is for the goroutine that owns the core.
+// Recorder writes a trace. It is not safe for concurrent use: only the goroutine
+// that owns the core may call it.
 type Recorder struct {
 	out  *bufio.Writer
 	keys Keys
 }
 
-// Keys tells under which reference a caller's key is recorded, which holds no
-// secret.
+// Keys returns the reference under which a caller's key is recorded, so that a
+// trace contains no secret.
 type Keys interface {
 	KeyReference(secret string) string
 }
 
-// NewRecorder begins a trace of a core made with o. It returns an error when out
-// cannot be written.
+// NewRecorder starts a trace of a core that was created with o and writes the
+// header. It returns an error when out cannot be written.
 func NewRecorder(out io.Writer, o core.Options, keys Keys) (*Recorder, error) {
 	r := &Recorder{out: bufio.NewWriter(out), keys: keys}
 	return r, r.write(header{Format: traceFormat, Self: o.Self, Timing: o.Timing, Seed: o.Seed})
 }
 
-// Record writes one event. It is called before the core handles the event, so
-// that a key stands for what it was then. It returns an error when the event
-// cannot be written.
+// Record writes one event. It must be called before the core handles the event,
+// because the event may change which key a secret refers to. It returns an error
+// when the event cannot be written.
 func (r *Recorder) Record(at time.Duration, e event.Event) error {
 	if in, ok := e.(event.RequestIn); ok {
 		in.Request.Key = r.keys.KeyReference(in.Request.Key)
@@ -65,10 +67,10 @@
 	if err != nil {
 		return err
 	}
-	return r.write(line{At: at, Kind: k, Event: body})
+	return r.write(traceLine{At: at, Kind: k, Event: body})
 }
 
-// Flush writes out what is buffered.
+// Flush writes the buffered lines to the output.
 func (r *Recorder) Flush() error { return errors.Wrap(r.out.Flush(), "write trace") }
 
 func (r *Recorder) write(v any) error {
@@ -82,17 +84,17 @@
 
 // Trace reads a trace.
 type Trace struct {
-	Options core.Options // that the recorded core was made with
-	lines   *json.Decoder
-	read    int
+	Options    core.Options // of the recorded core
+	decoder    *json.Decoder
+	eventsRead int
 }
 
-// NewTrace reads the header of a trace. It returns an error when there is none or
-// its format is another.
+// NewTrace reads the header of a trace. It returns an error when the header is
+// missing or has another format.
 func NewTrace(in io.Reader) (*Trace, error) {
-	t := &Trace{lines: json.NewDecoder(bufio.NewReader(in))}
+	t := &Trace{decoder: json.NewDecoder(bufio.NewReader(in))}
 	var h header
-	if err := t.lines.Decode(&h); err != nil {
+	if err := t.decoder.Decode(&h); err != nil {
 		return nil, errors.Wrap(err, "read the trace's header")
 	}
 	if h.Format != traceFormat {
@@ -102,18 +104,18 @@
 	return t, nil
 }
 
-// Next returns the next event and its time. At the end it returns io.EOF, also
-// after a last line that was cut while it was written.
+// Next returns the next event and its time on the core's clock. At the end, or
+// at a last line that was written only in part, it returns io.EOF.
 func (t *Trace) Next() (time.Duration, event.Event, error) {
-	var l line
-	err := t.lines.Decode(&l)
+	var l traceLine
+	err := t.decoder.Decode(&l)
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return 0, nil, io.EOF
 	}
-	t.read++
+	t.eventsRead++
 	if err != nil {
-		return 0, nil, errors.Wrapf(err, "trace event %d", t.read)
+		return 0, nil, errors.Wrapf(err, "trace event %d", t.eventsRead)
 	}
 	e, err := decodeEvent(l.Kind, l.Event)
-	return l.At, e, errors.Wrapf(err, "trace event %d", t.read)
+	return l.At, e, errors.Wrapf(err, "trace event %d", t.eventsRead)
 }
