--- a/internal/logsink/handler.go
+++ b/internal/logsink/handler.go
@@ -6,48 +6,50 @@
 )
 
 // Handler returns a handler that writes JSON lines to the sink. Lines about one job
-// or one worker share the sink's rate; the few others, which tell what an instance
-// believes, such as who leads, have a rate of their own, so that a burst of requests
-// does not push them out.
+// or one worker share one rate limit. All other lines, which report the instance's
+// own state, such as who leads, have a separate limit, so that a burst of requests
+// does not crowd them out.
 func (s *Sink) Handler(level slog.Leveler) slog.Handler {
 	options := &slog.HandlerOptions{Level: level}
-	return &handler{many: slog.NewJSONHandler(s, options), few: slog.NewJSONHandler(reserved{s}, options)}
+	return &handler{perItem: slog.NewJSONHandler(s, options), general: slog.NewJSONHandler(generalWriter{s}, options)}
 }
 
-type handler struct{ many, few slog.Handler }
+type handler struct{ perItem, general slog.Handler }
 
-// perItem are the attributes of lines that come in numbers.
-func perItem(key string) bool { return key == "job" || key == "worker" }
+// isPerItem reports whether an attribute with this key marks a line about one job
+// or one worker.
+func isPerItem(key string) bool { return key == "job" || key == "worker" }
 
 // Enabled implements slog.Handler.
 func (h *handler) Enabled(ctx context.Context, level slog.Level) bool {
-	return h.many.Enabled(ctx, level)
+	return h.perItem.Enabled(ctx, level)
 }
 
 // Handle implements slog.Handler.
 func (h *handler) Handle(ctx context.Context, r slog.Record) error {
-	to := h.few
+	target := h.general
 	r.Attrs(func(a slog.Attr) bool {
-		if perItem(a.Key) {
-			to = h.many
+		if isPerItem(a.Key) {
+			target = h.perItem
 		}
-		return to == h.few
+		return target == h.general
 	})
-	return to.Handle(ctx, r)
+	return target.Handle(ctx, r)
 }
 
 // WithAttrs implements slog.Handler.
 func (h *handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &handler{many: h.many.WithAttrs(attrs), few: h.few.WithAttrs(attrs)}
+	return &handler{perItem: h.perItem.WithAttrs(attrs), general: h.general.WithAttrs(attrs)}
 }
 
 // WithGroup implements slog.Handler.
 func (h *handler) WithGroup(name string) slog.Handler {
-	return &handler{many: h.many.WithGroup(name), few: h.few.WithGroup(name)}
+	return &handler{perItem: h.perItem.WithGroup(name), general: h.general.WithGroup(name)}
 }
 
-// reserved writes lines at the rate that is kept for few lines.
-type reserved struct{ s *Sink }
+// generalWriter writes lines that are not about one job or one worker, with their
+// own rate limit.
+type generalWriter struct{ s *Sink }
 
 // Write implements io.Writer.
-func (r reserved) Write(line []byte) (int, error) { return r.s.write(line, &r.s.few) }
+func (r generalWriter) Write(line []byte) (int, error) { return r.s.write(line, &r.s.generalRate) }
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,5 +1,5 @@
-// Package logsink writes log lines without ever holding up who logs. Lines beyond
-// what the sink can take, or beyond its rate, are left out and counted.
+// Package logsink writes log lines without ever blocking the goroutine that logs.
+// Lines that exceed the queue or a rate limit are dropped and counted.
 package logsink
 
 import (
@@ -12,17 +12,18 @@
 )
 
 const (
-	// queueLines is how many lines may wait to be written.
-	queueLines = 4096
-	// linesPerSecond bounds the volume. A line is about 250 bytes.
-	linesPerSecond = 1500
-	// reservedPerSecond bounds lines that are about no single job or worker.
-	reservedPerSecond = 200
-	// flushEvery is how long lines are gathered before they are written at once.
-	flushEvery = 50 * time.Millisecond
+	// maxQueuedLines is the maximum number of lines that wait to be written.
+	maxQueuedLines = 4096
+	// maxItemLinesPerSecond limits lines about single jobs and workers. A line is
+	// about 250 bytes long.
+	maxItemLinesPerSecond = 1500
+	// maxGeneralLinesPerSecond limits all other lines.
+	maxGeneralLinesPerSecond = 200
+	// flushInterval is how long lines are collected before one write.
+	flushInterval = 50 * time.Millisecond
 )
 
-// Sink is an io.Writer of whole lines.
+// Sink is an io.Writer of whole lines. It is safe for concurrent use.
 type Sink struct {
 	out     io.Writer
 	lines   chan []byte
@@ -31,30 +32,31 @@
 	done    chan struct{}
 	once    sync.Once
 
-	many, few rate
+	itemRate, generalRate rateLimiter
 }
 
-// rate counts lines by the second.
-type rate struct {
-	most   int // in a second
-	mu     sync.Mutex
-	second time.Time
-	count  int
+// rateLimiter limits the lines in windows of one second.
+type rateLimiter struct {
+	maxPerSecond int
+	mu           sync.Mutex
+	windowStart  time.Time
+	count        int
 }
 
-// New returns a sink that writes to out until it is closed.
+// New returns a sink that writes to out until Close.
 func New(out io.Writer) *Sink {
-	s := &Sink{out: out, lines: make(chan []byte, queueLines), closed: make(chan struct{}), done: make(chan struct{})}
-	s.many.most, s.few.most = linesPerSecond, reservedPerSecond
+	s := &Sink{out: out, lines: make(chan []byte, maxQueuedLines), closed: make(chan struct{}), done: make(chan struct{})}
+	s.itemRate.maxPerSecond, s.generalRate.maxPerSecond = maxItemLinesPerSecond, maxGeneralLinesPerSecond
 	go s.run()
 	return s
 }
 
-// Write takes one line. It never blocks and never fails.
-func (s *Sink) Write(line []byte) (int, error) { return s.write(line, &s.many) }
+// Write queues one line about a single job or worker, or drops it. It never blocks
+// and never returns an error.
+func (s *Sink) Write(line []byte) (int, error) { return s.write(line, &s.itemRate) }
 
-func (s *Sink) write(line []byte, r *rate) (int, error) {
-	if !r.allows() {
+func (s *Sink) write(line []byte, limiter *rateLimiter) (int, error) {
+	if !limiter.allow() {
 		s.dropped.Add(1)
 		return len(line), nil
 	}
@@ -66,17 +68,17 @@
 	return len(line), nil
 }
 
-func (r *rate) allows() bool {
+func (r *rateLimiter) allow() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := time.Now(); now.Sub(r.second) >= time.Second {
-		r.second, r.count = now, 0
+	if now := time.Now(); now.Sub(r.windowStart) >= time.Second {
+		r.windowStart, r.count = now, 0
 	}
 	r.count++
-	return r.count <= r.most
+	return r.count <= r.maxPerSecond
 }
 
-// Close writes what waits and ends the sink. Lines that come later are lost.
+// Close writes the queued lines and stops the sink. Later lines are lost.
 func (s *Sink) Close() {
 	s.once.Do(func() { close(s.closed) })
 	<-s.done
@@ -91,9 +93,9 @@
 		select {
 		case line := <-s.lines:
 			buffer = append(buffer, line...)
-			open = s.gather(&buffer)
+			open = s.collect(&buffer)
 		case <-s.closed:
-			open = s.gather(&buffer)
+			open = s.collect(&buffer)
 		}
 		if n := s.dropped.Swap(0); n > 0 {
 			buffer = fmt.Appendf(buffer, `{"time":%q,"level":"WARN","msg":"log lines left out","count":%d}`+"\n", time.Now().Format(time.RFC3339Nano), n)
@@ -105,31 +107,32 @@
 	}
 }
 
-// atomicWrite is how many bytes a pipe takes whole (PIPE_BUF). Readers of longer
-// writes may see lines cut or mixed with those of others.
-const atomicWrite = 4096
+// maxAtomicWrite is the maximum size in bytes of an atomic write to a pipe
+// (PIPE_BUF). With longer writes, readers may see lines split or interleaved with
+// those of other writers.
+const maxAtomicWrite = 4096
 
-// flush writes whole lines, in pieces that a pipe takes whole.
+// flush writes whole lines in chunks that fit into an atomic write to a pipe.
 func (s *Sink) flush(lines []byte) {
 	for len(lines) > 0 {
 		n := len(lines)
-		if n > atomicWrite {
-			n = bytes.LastIndexByte(lines[:atomicWrite], '\n') + 1
-			if n == 0 { // a single line is longer
+		if n > maxAtomicWrite {
+			n = bytes.LastIndexByte(lines[:maxAtomicWrite], '\n') + 1
+			if n == 0 { // the first line alone is longer
 				n = bytes.IndexByte(lines, '\n') + 1
 			}
 		}
 		if _, err := s.out.Write(lines[:n]); err != nil {
-			s.dropped.Add(1) // there is nowhere else to tell it
+			s.dropped.Add(1) // the output is the only place to report it
 		}
 		lines = lines[n:]
 	}
 }
 
-// gather adds the lines that come within flushEvery. It reports whether more may
-// come.
-func (s *Sink) gather(buffer *[]byte) bool {
-	t := time.NewTimer(flushEvery)
+// collect appends the lines that arrive within flushInterval to buffer. It reports
+// whether the sink is still open.
+func (s *Sink) collect(buffer *[]byte) bool {
+	t := time.NewTimer(flushInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -138,14 +141,14 @@
 		case <-t.C:
 			return true
 		case <-s.closed:
-			s.rest(buffer)
+			s.drainQueue(buffer)
 			return false
 		}
 	}
 }
 
-// rest adds the lines that wait.
-func (s *Sink) rest(buffer *[]byte) {
+// drainQueue appends the queued lines to buffer.
+func (s *Sink) drainQueue(buffer *[]byte) {
 	for {
 		select {
 		case line := <-s.lines:
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -12,18 +12,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuck is a writer that takes nothing until it is released.
-type stuck struct {
+// blockedWriter is a writer that blocks until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
-	got     bytes.Buffer
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(p)
+	return s.written.Write(p)
 }
 
 func TestLinesAreWrittenInOrder(t *testing.T) {
@@ -39,19 +39,19 @@
 	assert.Equal(t, "one\ntwo\nthree\n", out.String())
 }
 
-// Whoever logs is never held up, and what is left out is counted.
-func TestStuckOutputBlocksNobody(t *testing.T) {
-	out := &stuck{release: make(chan struct{})}
+// A blocked output must not block a caller that logs. Dropped lines are counted.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	out := &blockedWriter{release: make(chan struct{})}
 	s := New(out)
-	for range 3 * queueLines {
+	for range 3 * maxQueuedLines {
 		_, err := s.Write([]byte("line\n"))
 		require.NoError(t, err)
 	}
 	close(out.release)
 	s.Close()
-	text := out.got.String()
+	text := out.written.String()
 	assert.Contains(t, text, "log lines left out")
-	assert.Less(t, strings.Count(text, "line\n"), 3*queueLines)
+	assert.Less(t, strings.Count(text, "line\n"), 3*maxQueuedLines)
 }
 
 func TestLinesAfterCloseAreDropped(t *testing.T) {
@@ -63,38 +63,39 @@
 	assert.Empty(t, out.String())
 }
 
-// Load: a burst of lines about jobs beyond the rate. Who leads is told all the same.
-func TestBurstOfRequestsLeavesRoomForOtherLines(t *testing.T) {
+// A burst of lines about jobs exceeds their rate limit. A line about leadership is
+// still written.
+func TestBurstOfJobLinesDoesNotDropGeneralLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		s := New(&out)
 		log := slog.New(s.Handler(slog.LevelInfo)).With("instance", "i1")
-		for i := range 2 * linesPerSecond {
+		for i := range 2 * maxItemLinesPerSecond {
 			log.Info("job accepted", "job", i)
 		}
 		log.Info("leading", "term", 7)
 		s.Close()
 		assert.Contains(t, out.String(), `"msg":"leading","instance":"i1","term":7`)
-		assert.Equal(t, linesPerSecond, strings.Count(out.String(), "job accepted"))
+		assert.Equal(t, maxItemLinesPerSecond, strings.Count(out.String(), "job accepted"))
 		assert.Contains(t, out.String(), `"count":1500`)
 	})
 }
 
-// pieces notes the length of each write.
-type pieces struct {
+// writeRecorder records the length of each write.
+type writeRecorder struct {
 	bytes.Buffer
 	sizes []int
 }
 
-func (p *pieces) Write(b []byte) (int, error) {
+func (p *writeRecorder) Write(b []byte) (int, error) {
 	p.sizes = append(p.sizes, len(b))
 	return p.Buffer.Write(b)
 }
 
-// A pipe takes writes of up to 4,096 bytes whole: lines are written in such pieces,
-// and none is cut.
-func TestLinesAreWrittenInPiecesThatAPipeTakesWhole(t *testing.T) {
-	out := &pieces{}
+// Writes of up to 4,096 bytes to a pipe are atomic. The sink keeps its writes
+// within this size and splits no line.
+func TestWritesFitIntoAnAtomicPipeWrite(t *testing.T) {
+	out := &writeRecorder{}
 	s := New(out)
 	var want strings.Builder
 	for i := range 200 {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics names metrics and renders a registry in the text exposition
-// format that monitoring systems scrape.
+// Package metrics builds metric names and renders a registry in the Prometheus
+// text exposition format.
 package metrics
 
 import (
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Prefix starts the name of every metric of the system.
+// Prefix is the prefix of every metric name.
 const Prefix = "pollenbend_"
 
 // Label is one dimension of a metric.
@@ -16,8 +16,8 @@
 	Value string
 }
 
-// Name returns the registry name of a metric: the prefix, base and the labels in
-// the order of their names.
+// Name returns the registry name of a metric: the prefix, base and the labels
+// sorted by name.
 func Name(base string, labels ...Label) string {
 	if len(labels) == 0 {
 		return Prefix + base
--- a/internal/metrics/render.go
+++ b/internal/metrics/render.go
@@ -11,7 +11,7 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// ContentType is the media type of what Render writes.
+// ContentType is the media type of the output of Render.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
@@ -23,8 +23,9 @@
 	metric any
 }
 
-// Render writes every metric of r, ordered by name. Timers are written in
-// seconds. Summaries have no _sum, as the registry keeps sums of samples only.
+// Render writes every metric of r, sorted by name. Timers are written in seconds.
+// Summaries have no _sum, because the registry keeps only the sum of the samples
+// in the reservoir.
 func Render(w io.Writer, r gometrics.Registry) error {
 	var b strings.Builder
 	family := ""
@@ -46,7 +47,7 @@
 		if kind == "" {
 			return
 		}
-		family, labels := split(name)
+		family, labels := splitName(name)
 		samples = append(samples, sample{family, labels, kind, metric})
 	})
 	sort.Slice(samples, func(i, j int) bool {
@@ -71,14 +72,14 @@
 	return ""
 }
 
-// split cuts a registry name into the family, with characters that the format
-// forbids replaced, and the labels.
-func split(name string) (family, labels string) {
+// splitName splits a registry name into the family, with characters that the
+// format forbids replaced, and the labels without braces.
+func splitName(name string) (family, labels string) {
 	family, labels, _ = strings.Cut(name, "{")
-	return strings.Map(legal, family), strings.TrimSuffix(labels, "}")
+	return strings.Map(replaceIllegal, family), strings.TrimSuffix(labels, "}")
 }
 
-func legal(r rune) rune {
+func replaceIllegal(r rune) rune {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9', r == '_', r == ':':
 		return r
@@ -89,36 +90,36 @@
 func (s sample) write(b *strings.Builder) {
 	switch m := s.metric.(type) {
 	case gometrics.Counter:
-		s.line(b, "", "", float64(m.Count()))
+		s.writeLine(b, "", "", float64(m.Count()))
 	case gometrics.Gauge:
-		s.line(b, "", "", float64(m.Value()))
+		s.writeLine(b, "", "", float64(m.Value()))
 	case gometrics.GaugeFloat64:
-		s.line(b, "", "", m.Value())
+		s.writeLine(b, "", "", m.Value())
 	case gometrics.Timer:
 		t := m.Snapshot()
-		s.summary(b, t.Percentiles(quantiles), t.Count(), float64(time.Second))
+		s.writeSummary(b, t.Percentiles(quantiles), t.Count(), float64(time.Second))
 	case gometrics.Histogram:
 		h := m.Snapshot()
-		s.summary(b, h.Percentiles(quantiles), h.Count(), 1)
+		s.writeSummary(b, h.Percentiles(quantiles), h.Count(), 1)
 	case gometrics.Meter:
-		s.line(b, "", "", float64(m.Count()))
+		s.writeLine(b, "", "", float64(m.Count()))
 	}
 }
 
-func (s sample) summary(b *strings.Builder, values []float64, count int64, unit float64) {
+func (s sample) writeSummary(b *strings.Builder, values []float64, count int64, unit float64) {
 	for i, q := range quantiles {
 		label := `quantile="` + strconv.FormatFloat(q, 'g', -1, 64) + `"`
-		s.line(b, "", label, values[i]/unit)
+		s.writeLine(b, "", label, values[i]/unit)
 	}
-	s.line(b, "_count", "", float64(count))
+	s.writeLine(b, "_count", "", float64(count))
 }
 
-func (s sample) line(b *strings.Builder, suffix, extra string, value float64) {
+func (s sample) writeLine(b *strings.Builder, suffix, extraLabel string, value float64) {
 	labels := s.labels
-	if labels != "" && extra != "" {
+	if labels != "" && extraLabel != "" {
 		labels += ","
 	}
-	labels += extra
+	labels += extraLabel
 	b.WriteString(s.family + suffix)
 	if labels != "" {
 		b.WriteString("{" + labels + "}")
--- a/internal/timeline/merge/merge_test.go
+++ b/internal/timeline/merge/merge_test.go
@@ -13,9 +13,10 @@
 	"pollenbend/internal/model"
 )
 
-// doc reads a document written as "instance events...", each event as its number,
-// with @offset after it or <instance.number for its cause.
-func doc(text string) Document {
+// parseDocument parses a document of the form "instance events...". Each event is
+// its number, followed by @offset for its log offset or <instance.number for its
+// cause.
+func parseDocument(text string) Document {
 	fields := strings.Fields(text)
 	d := Document{Instance: model.InstanceID(fields[0]), Incarnation: 1}
 	for _, f := range fields[1:] {
@@ -32,7 +33,7 @@
 	return d
 }
 
-func names(events []Event) string {
+func format(events []Event) string {
 	var list []string
 	for _, e := range events {
 		list = append(list, fmt.Sprintf("%s%d", e.Instance, e.Seq))
@@ -63,9 +64,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			m := New()
 			for _, text := range tt.docs {
-				m.Add(doc(text))
+				m.Add(parseDocument(text))
 			}
-			require.Equal(t, tt.want, names(m.Flush()))
+			require.Equal(t, tt.want, format(m.Flush()))
 			require.Empty(t, m.Flush())
 		})
 	}
@@ -73,26 +74,27 @@
 
 func TestReadyWaitsForACause(t *testing.T) {
 	m := New()
-	m.Add(doc("a 1 2<b.2 3"))
-	m.Add(doc("b 1"))
-	require.Equal(t, "a1 b1", names(m.Ready()))
-	m.Add(doc("b 2 3"))
-	require.Equal(t, "b2 a2 b3 a3", names(m.Ready()))
+	m.Add(parseDocument("a 1 2<b.2 3"))
+	m.Add(parseDocument("b 1"))
+	require.Equal(t, "a1 b1", format(m.Ready()))
+	m.Add(parseDocument("b 2 3"))
+	require.Equal(t, "b2 a2 b3 a3", format(m.Ready()))
 }
 
-func TestRestartFollowsTheLifeBefore(t *testing.T) {
+func TestRestartFollowsTheEarlierIncarnation(t *testing.T) {
 	m := New()
-	second := doc("a 1 2")
+	second := parseDocument("a 1 2")
 	second.Incarnation = 2
 	m.Add(second)
-	m.Add(doc("a 1 2 3"))
-	m.Add(doc("b 1<a.3"))
-	require.Equal(t, "a1 a2 a3 a1 b1 a2", names(m.Flush()))
+	m.Add(parseDocument("a 1 2 3"))
+	m.Add(parseDocument("b 1<a.3"))
+	require.Equal(t, "a1 a2 a3 a1 b1 a2", format(m.Flush()))
 }
 
-// TestOrder draws histories of instances that send each other messages. Each
-// merge must keep every event, put it after its cause and after the events before
-// it, and not depend on the order or the pieces that the events come in.
+// TestOrder merges random histories of instances that send each other messages.
+// Each merge must keep every event, put it after its cause and after the earlier
+// events of its instance, and not depend on the order or the parts in which the
+// events are added.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := []model.InstanceID{"a", "b", "c"}
@@ -132,7 +134,7 @@
 		for _, id := range ids {
 			again.Add(*docs[id])
 		}
-		require.Equal(t, names(merged), names(again.Flush()))
+		require.Equal(t, format(merged), format(again.Flush()))
 		for _, order := range [][]Event{merged, streamed} {
 			require.Len(t, order, total)
 			requireCausal(t, order)
