--- a/internal/testcell/call.go
+++ b/internal/testcell/call.go
@@ -11,20 +11,21 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// Call is a request of a caller and what came back.
+// Call is a caller's request and its answers.
 type Call struct {
 	Handle   uint64
 	Request  model.Request
-	Team     model.TeamID // whose key it carries
+	Team     model.TeamID // team of the request's key
 	Via      model.InstanceID
 	SentAt   time.Duration
-	Deadline time.Duration // by the caller's own clock
+	Deadline time.Duration // on the cell's clock, which is the caller's
 	Answers  []Answered
-	// Lost tells that the instance died before it answered, or was dead.
+	// Lost is set when the instance was killed before it answered or was not
+	// running when the request was sent.
 	Lost bool
 }
 
-// Answered is an answer and when it came.
+// Answered is an answer and the time at which the caller received it.
 type Answered struct {
 	At     time.Duration
 	Answer model.Answer
@@ -32,7 +33,8 @@
 
 func (c *Call) answered() bool { return len(c.Answers) > 0 }
 
-// ID returns the id of the request, also when it was minted.
+// ID returns the id of the request, or the id that the instance assigned if the
+// caller set none.
 func (c *Call) ID() string {
 	if c.Request.ID == "" && c.answered() {
 		return c.Answers[0].Answer.ID
@@ -40,7 +42,8 @@
 	return c.Request.ID
 }
 
-// Verdict returns the final verdict as the caller knows it.
+// Verdict returns the verdict that the caller has received. It is MayHaveRun for a
+// lost call and Pending for an open one.
 func (c *Call) Verdict() verdict.Verdict {
 	switch {
 	case c.answered():
@@ -51,7 +54,8 @@
 	return verdict.Pending
 }
 
-// Do sends a request to an instance on behalf of a caller.
+// Do sends a request of a team to an instance. The call's deadline follows from
+// the request's timeout, which is limited to the cell's request timeout.
 func (c *Cell) Do(via model.InstanceID, team model.TeamID, r model.Request) *Call {
 	timeout := r.Timeout
 	if timeout <= 0 || timeout > c.options.Timing.RequestTimeout {
@@ -67,7 +71,7 @@
 		call.Lost = true
 		return call
 	}
-	in.post(c.latency(), event.RequestIn{Handle: call.Handle, Request: r})
+	in.deliverEvent(c.randomLatency(), event.RequestIn{Handle: call.Handle, Request: r})
 	return call
 }
 
@@ -76,8 +80,8 @@
 	call.Answers = append(call.Answers, Answered{At: c.now, Answer: a.Answer})
 }
 
-// LogFaults replaces the faults of the log.
+// LogFaults replaces the injected faults of the log.
 func (c *Cell) LogFaults(f LogFaults) {
-	c.log.SetFaults(c.wall(), f)
-	c.logSince = c.now
+	c.log.SetFaults(c.wallTime(), f)
+	c.logFaultsSetAt = c.now
 }
--- a/internal/testcell/cell.go
+++ b/internal/testcell/cell.go
@@ -1,5 +1,6 @@
-// Package testcell runs several decision cores against the platform's stand-ins
-// in virtual time, for tests. Everything that happens follows from one seed.
+// Package testcell simulates a cell for tests: several decision cores run against
+// stand-ins for the platform's services in virtual time. A run is determined by
+// its seed.
 package testcell
 
 import (
@@ -17,13 +18,13 @@
 	"pollenbend/internal/wire"
 )
 
-// Secrets with which the cell's keys are declared.
 const (
+	// OperatorSecret is the secret of the cell's operator key.
 	OperatorSecret = "operator-secret"
 	stream         = "cell"
 )
 
-// epoch is the wall-clock time at which every cell begins.
+// epoch is the wall-clock time at which every cell starts.
 var epoch = time.Date(2026, time.March, 1, 6, 0, 0, 0, time.UTC)
 
 // Options configures a Cell.
@@ -32,7 +33,7 @@
 	Timing event.Timing
 }
 
-// DefaultTiming returns the timing that cells run with.
+// DefaultTiming returns the timing of a cell whose options set none.
 func DefaultTiming() event.Timing {
 	return event.Timing{
 		Heartbeat:       500 * time.Millisecond,
@@ -45,37 +46,37 @@
 	}
 }
 
-// Cell is a set of instances, workers and a platform in virtual time. It is not
-// safe for concurrent use.
+// Cell simulates instances, workers and the platform's services in virtual time.
+// It is not safe for concurrent use.
 type Cell struct {
-	options Options
-	tamper  Tamper
-	rng     *rand.Rand
-	now     time.Duration
-	queue   timers
-	serial  uint64
+	options    Options
+	tamper     Tamper
+	rng        *rand.Rand
+	now        time.Duration
+	timers     timerQueue
+	lastSerial uint64
 
 	instances map[model.InstanceID]*instance
 	order     []model.InstanceID
 	links     map[pair]*link
 
-	log      *standin.LogCore
-	appended []appended
-	logSince time.Duration // when the log's faults changed last
-	noLog    map[model.InstanceID]bool
-	list     *standin.ListCore
-	lag      time.Duration
-	leaving  map[model.WorkerID]time.Duration // when the list shows it
+	log            *standin.LogCore
+	logEntries     []logEntry
+	logFaultsSetAt time.Duration // when the log's faults were last changed
+	logUnreachable map[model.InstanceID]bool
+	list           *standin.ListCore
+	listLag        time.Duration
+	leavingSince   map[model.WorkerID]time.Duration // when the list shows the worker as leaving
 
-	history *standin.History
-	workers map[model.WorkerID]*worker
-	wanted  model.Declarations
-	calls   []*Call
-	faults  []Violation // broken promises found while running
+	history      *standin.History
+	workers      map[model.WorkerID]*worker
+	declarations model.Declarations
+	calls        []*Call
+	violations   []Violation // violations found while the cell runs
 }
 
 // appended is one log entry and the time at which it took effect.
-type appended struct {
+type logEntry struct {
 	offset  uint64
 	at      time.Duration
 	records []wire.Record
@@ -87,52 +88,52 @@
 		o.Timing = DefaultTiming()
 	}
 	c := &Cell{
-		options:   o,
-		rng:       rand.New(rand.NewPCG(o.Seed, 1)),
-		instances: make(map[model.InstanceID]*instance),
-		links:     make(map[pair]*link),
-		log:       standin.NewLogCore(standin.LogSettings{}),
-		noLog:     make(map[model.InstanceID]bool),
-		list:      standin.NewListCore(0),
-		leaving:   make(map[model.WorkerID]time.Duration),
-		history:   standin.NewHistory(),
-		workers:   make(map[model.WorkerID]*worker),
+		options:        o,
+		rng:            rand.New(rand.NewPCG(o.Seed, 1)),
+		instances:      make(map[model.InstanceID]*instance),
+		links:          make(map[pair]*link),
+		log:            standin.NewLogCore(standin.LogSettings{}),
+		logUnreachable: make(map[model.InstanceID]bool),
+		list:           standin.NewListCore(0),
+		leavingSince:   make(map[model.WorkerID]time.Duration),
+		history:        standin.NewHistory(),
+		workers:        make(map[model.WorkerID]*worker),
 	}
-	c.wanted.Keys = []model.Key{{
+	c.declarations.Keys = []model.Key{{
 		Name: "operator", Scope: model.ScopeOperator, SHA256: declare.HashSecret(OperatorSecret),
 	}}
 	return c
 }
 
-// Now returns the virtual time since the cell began.
+// Now returns the virtual time since the cell was created.
 func (c *Cell) Now() time.Duration { return c.now }
 
-// History returns what the workers really did.
+// History returns the events that the workers recorded.
 func (c *Cell) History() []standin.Event { return c.history.Read(0).Events }
 
-func (c *Cell) wall() time.Time { return epoch.Add(c.now) }
+func (c *Cell) wallTime() time.Time { return epoch.Add(c.now) }
 
-// timer runs a function at a virtual time. Timers of one time run in the order
-// in which they were set.
+// timer runs a function at a virtual time. Timers with the same time run in the
+// order in which they were set.
 type timer struct {
 	at     time.Duration
 	serial uint64
 	run    func()
 }
 
-type timers []timer
+type timerQueue []timer
 
-func (q timers) Len() int { return len(q) }
-func (q timers) Less(i, j int) bool {
+func (q timerQueue) Len() int { return len(q) }
+func (q timerQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].serial < q[j].serial
 }
-func (q timers) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *timers) Push(x any) { *q = append(*q, x.(timer)) }
+func (q *timerQueue) Push(x any) { *q = append(*q, x.(timer)) }
 
 // Pop implements heap.Interface.
-func (q *timers) Pop() any {
+func (q *timerQueue) Pop() any {
 	last := len(*q) - 1
 	t := (*q)[last]
 	(*q)[last] = timer{}
@@ -140,34 +141,34 @@
 	return t
 }
 
-func (c *Cell) after(d time.Duration, run func()) {
-	c.serial++
-	heap.Push(&c.queue, timer{at: c.now + max(d, 0), serial: c.serial, run: run})
+func (c *Cell) runAfter(d time.Duration, f func()) {
+	c.lastSerial++
+	heap.Push(&c.timers, timer{at: c.now + max(d, 0), serial: c.lastSerial, run: f})
 }
 
-// Advance runs the cell for d.
+// Advance runs the cell for d of virtual time.
 func (c *Cell) Advance(d time.Duration) {
 	until := c.now + d
-	for len(c.queue) > 0 && c.queue[0].at <= until {
-		t := heap.Pop(&c.queue).(timer)
+	for len(c.timers) > 0 && c.timers[0].at <= until {
+		t := heap.Pop(&c.timers).(timer)
 		c.now = t.at
 		t.run()
 	}
 	c.now = until
 }
 
-// between draws a duration from low to high.
-func (c *Cell) between(low, high time.Duration) time.Duration {
-	return low + time.Duration(c.rng.Int64N(int64(high-low)+1))
+// randomDuration returns a uniformly distributed duration from minimum to maximum.
+func (c *Cell) randomDuration(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(c.rng.Int64N(int64(maximum-minimum)+1))
 }
 
-// latency draws the time that a message takes.
-func (c *Cell) latency() time.Duration {
-	return c.between(500*time.Microsecond, 3*time.Millisecond)
+// randomLatency returns the random one-way latency of one message.
+func (c *Cell) randomLatency() time.Duration {
+	return c.randomDuration(500*time.Microsecond, 3*time.Millisecond)
 }
 
-// AddInstances lists n instances named entry-1, entry-2 and so on, spread over
-// four availability zones. Start starts them.
+// AddInstances adds n instances named entry-1, entry-2 and so on, spread over four
+// availability zones. Start starts them.
 func (c *Cell) AddInstances(n int) {
 	for i := range n {
 		info := platform.Instance{
@@ -179,32 +180,33 @@
 	}
 	for i, a := range c.order {
 		for _, b := range c.order[i+1:] {
-			c.linkOf(a, b)
+			c.linkBetween(a, b)
 		}
 	}
 }
 
-// Declare adds to the declarations with which the cell starts.
+// Declare adds to the declarations that Start writes to the log.
 func (c *Cell) Declare(d model.Declarations) {
-	c.wanted.Teams = append(c.wanted.Teams, d.Teams...)
-	c.wanted.Keys = append(c.wanted.Keys, d.Keys...)
-	c.wanted.Queues = append(c.wanted.Queues, d.Queues...)
-	c.wanted.Services = append(c.wanted.Services, d.Services...)
+	c.declarations.Teams = append(c.declarations.Teams, d.Teams...)
+	c.declarations.Keys = append(c.declarations.Keys, d.Keys...)
+	c.declarations.Queues = append(c.declarations.Queues, d.Queues...)
+	c.declarations.Services = append(c.declarations.Services, d.Services...)
 }
 
-// Start puts the declarations into the log and starts every instance.
+// Start appends the declarations to the log and starts every instance after a
+// random delay of at most 500 ms.
 func (c *Cell) Start() {
-	change := model.Change{ID: "initial", Put: c.wanted, Author: "test"}
+	change := model.Change{ID: "initial", Put: c.declarations, Author: "test"}
 	c.appendRecords([]wire.Record{wire.ConfigChange{Change: change}})
 	for _, id := range c.order {
-		c.after(c.between(0, 500*time.Millisecond), func() { c.Restart(id) })
+		c.runAfter(c.randomDuration(0, 500*time.Millisecond), func() { c.Restart(id) })
 	}
 }
 
-// Instances returns the ids of all instances in order.
+// Instances returns the ids of all instances in the order of their numbers.
 func (c *Cell) Instances() []model.InstanceID { return c.order }
 
-// Workers returns the ids of all workers in order.
+// Workers returns the sorted ids of all workers.
 func (c *Cell) Workers() []model.WorkerID {
 	ids := make([]model.WorkerID, 0, len(c.workers))
 	for id := range c.workers {
--- a/internal/testcell/check.go
+++ b/internal/testcell/check.go
@@ -11,10 +11,10 @@
 	"pollenbend/internal/wire"
 )
 
-// Promise names what a Violation breaks.
+// Promise states a guarantee of the system that Check verifies.
 type Promise string
 
-// Promises.
+// Promises that Check verifies.
 const (
 	PromiseCapacity Promise = "no worker is committed beyond what it has"
 	PromiseOnePlace Promise = "no task runs in two places"
@@ -40,13 +40,15 @@
 func (v Violation) Error() string { return fmt.Sprintf("%s: at %v: %s", v.Promise, v.At, v.Detail) }
 
 const (
-	// limitGrace is how long a changed limit may take to be in force everywhere.
+	// limitGrace is the maximum time until a configuration change, such as a new
+	// limit, is in force everywhere.
 	limitGrace = 19 * time.Second
-	// withdrawalGrace is how long a withdrawn key may go on working.
+	// withdrawalGrace is how long a withdrawn key may still be accepted.
 	withdrawalGrace = 5 * time.Second
-	// leavingGrace is how long a worker gets work after it is listed as leaving.
+	// leavingGrace is how long a worker may still get tasks after the list shows
+	// it as leaving.
 	leavingGrace = 5 * time.Second
-	// answerGrace is how much later than its deadline an answer may come.
+	// answerGrace is how long after its deadline a call may be answered.
 	answerGrace = time.Second
 )
 
@@ -55,43 +57,43 @@
 }
 
 func (c *Cell) violateAt(at time.Duration, p Promise, format string, args ...any) {
-	c.faults = append(c.faults, Violation{Promise: p, At: at, Detail: fmt.Sprintf(format, args...)})
+	c.violations = append(c.violations, Violation{Promise: p, At: at, Detail: fmt.Sprintf(format, args...)})
 }
 
-// Check compares what the workers did and what callers heard with the promises.
-// It returns every promise broken so far.
+// Check verifies the promises against the workers' history and the callers'
+// answers. It returns all violations so far.
 func (c *Cell) Check() []Violation {
-	kept := slices.Clone(c.faults)
+	before := slices.Clone(c.violations)
 	for _, w := range c.Workers() {
-		c.workers[w].core.Advance(c.wall())
+		c.workers[w].core.Advance(c.wallTime())
 	}
 	events := c.sortedHistory()
 	c.checkCapacity(events)
-	c.checkPlaces(events)
+	c.checkSingleRun(events)
 	c.checkLimits(events)
 	c.checkLeaving(events)
 	c.checkCalls(events)
 	c.checkConfig()
-	found := c.faults
-	c.faults = kept
-	return found
+	violations := c.violations
+	c.violations = before
+	return violations
 }
 
-// sortedHistory returns the history in order of time. A worker records an end
-// when it next looks at the time, so events come out of order; of one time, ends
-// come first.
+// sortedHistory returns the history sorted by time. The history itself is not
+// sorted, because a worker records the end of a run only when it is next advanced.
+// Of events with the same time, ends come first.
 func (c *Cell) sortedHistory() []standin.Event {
 	events := c.History()
 	slices.SortStableFunc(events, func(a, b standin.Event) int {
 		if n := a.At.Compare(b.At); n != 0 {
 			return n
 		}
-		return rank(a) - rank(b)
+		return eventRank(a) - eventRank(b)
 	})
 	return events
 }
 
-func rank(e standin.Event) int {
+func eventRank(e standin.Event) int {
 	if e.Kind == standin.EventEnd {
 		return 0
 	}
@@ -110,35 +112,35 @@
 		case standin.EventEnd:
 			used[e.Worker] = used[e.Worker].Sub(e.Demand)
 		case standin.EventOvercommit:
-			c.violateAt(e.At.Sub(epoch), PromiseCapacity, "%s was told to start %s, which does not fit", e.Worker, e.Task)
+			c.violateAt(e.At.Sub(epoch), PromiseCapacity, "%s received a start of %s, which does not fit", e.Worker, e.Task)
 		}
 	}
 }
 
-// checkPlaces looks for tasks that start twice and for requests with two runs at
-// once, or with two runs when they must not be repeated. What may be repeated may
-// start again under the same id after the worker that had it restarted: that run
-// is over, and no one remembers it.
-func (c *Cell) checkPlaces(events []standin.Event) {
+// checkSingleRun reports tasks that start twice, requests with two runs at the same
+// time, and requests that must not be repeated with more than one run. A repeatable
+// task may start again under the same id after its worker restarted: the first run
+// ended with the worker's incarnation, and nothing remembers it.
+func (c *Cell) checkSingleRun(events []standin.Event) {
 	started := make(map[model.TaskID]standin.Event)
 	running := make(map[model.TaskID]model.TaskID) // by base
 	runs := make(map[model.TaskID]int)
-	once := c.unrepeatable()
+	notRepeatable := c.notRepeatable()
 	for _, e := range events {
 		base := model.BaseTask(e.Task)
 		switch e.Kind {
 		case standin.EventStart:
 			at := e.At.Sub(epoch)
-			first, twice := started[e.Task]
-			if twice && (once[base] || !restarted(events, first, e.At)) {
+			first, startedBefore := started[e.Task]
+			if startedBefore && (notRepeatable[base] || !restartedBetween(events, first, e.At)) {
 				c.violateAt(at, PromiseOnePlace, "%s started on %s and on %s", e.Task, first.Worker, e.Worker)
 			}
-			if other, busy := running[base]; busy {
+			if other, isRunning := running[base]; isRunning {
 				c.violateAt(at, PromiseOnePlace, "%s starts while %s runs", e.Task, other)
 			}
 			started[e.Task], running[base] = e, e.Task
 			runs[base]++
-			if runs[base] > 1 && once[base] {
+			if runs[base] > 1 && notRepeatable[base] {
 				c.violateAt(at, PromiseOnce, "%s runs for the %d. time", base, runs[base])
 			}
 		case standin.EventEnd:
@@ -147,52 +149,53 @@
 	}
 }
 
-// restarted reports whether a worker restarted between a start there and a time.
-func restarted(events []standin.Event, start standin.Event, until time.Time) bool {
+// restartedBetween reports whether the worker of a start restarted after the start
+// and no later than until.
+func restartedBetween(events []standin.Event, start standin.Event, until time.Time) bool {
 	return slices.ContainsFunc(events, func(e standin.Event) bool {
 		return e.Kind == standin.EventRestart && e.Worker == start.Worker && e.At.After(start.At) && !e.At.After(until)
 	})
 }
 
-func (c *Cell) unrepeatable() map[model.TaskID]bool {
-	once := make(map[model.TaskID]bool)
+func (c *Cell) notRepeatable() map[model.TaskID]bool {
+	notRepeatable := make(map[model.TaskID]bool)
 	for _, call := range c.calls {
 		if call.Request.Op == model.OpCall && !call.Request.Task.Repeatable {
-			once[call.base()] = true
+			notRepeatable[call.baseTask()] = true
 		}
 	}
-	return once
+	return notRepeatable
 }
 
-func (c *Call) base() model.TaskID { return model.TaskIDOf(c.Team, c.ID(), 0) }
+func (c *Call) baseTask() model.TaskID { return model.TaskIDOf(c.Team, c.ID(), 0) }
 
-// configAt is the declarations in force from a time on.
-type configAt struct {
+// configVersion holds the declarations in force from a time on.
+type configVersion struct {
 	at      time.Duration
 	version uint64
-	teams   map[model.TeamID]int64 // upper limits
-	keys    map[string]model.Key   // by hash
+	teams   map[model.TeamID]int64 // limits, 0 for none
+	keys    map[string]model.Key   // by hash of the secret
 }
 
-// configs folds the log itself.
-func (c *Cell) configs() []configAt {
+// configHistory applies the log's configuration changes and returns each version.
+func (c *Cell) configHistory() []configVersion {
 	state := declare.NewState()
-	var list []configAt
-	for _, e := range c.appended {
+	var history []configVersion
+	for _, e := range c.logEntries {
 		for _, r := range e.records {
 			change, ok := r.(wire.ConfigChange)
 			if !ok {
 				continue
 			}
 			state.Apply(e.offset, change.Change)
-			list = append(list, configOf(state, e.at))
+			history = append(history, newConfigVersion(state, e.at))
 		}
 	}
-	return list
+	return history
 }
 
-func configOf(state *declare.State, at time.Duration) configAt {
-	v := configAt{at: at, version: state.Version(), teams: make(map[model.TeamID]int64), keys: make(map[string]model.Key)}
+func newConfigVersion(state *declare.State, at time.Duration) configVersion {
+	v := configVersion{at: at, version: state.Version(), teams: make(map[model.TeamID]int64), keys: make(map[string]model.Key)}
 	d := state.Declarations()
 	for _, t := range d.Teams {
 		v.teams[t.Name] = t.Limit
@@ -203,12 +206,12 @@
 	return v
 }
 
-// allowed returns the highest limit of a team that was in force between two
-// times, 0 for none.
-func allowed(configs []configAt, team model.TeamID, from, until time.Duration) int64 {
+// maxLimit returns the highest limit of a team that was in force between two
+// times, or 0 if it had no limit at some time between them.
+func maxLimit(history []configVersion, team model.TeamID, from, until time.Duration) int64 {
 	var highest int64
-	for i, v := range configs {
-		if v.at > until || i+1 < len(configs) && configs[i+1].at <= from {
+	for i, v := range history {
+		if v.at > until || i+1 < len(history) && history[i+1].at <= from {
 			continue
 		}
 		limit := v.teams[team]
@@ -221,14 +224,14 @@
 }
 
 func (c *Cell) checkLimits(events []standin.Event) {
-	configs := c.configs()
+	history := c.configHistory()
 	running := make(map[model.TeamID]int64)
 	for _, e := range events {
 		switch e.Kind {
 		case standin.EventStart:
 			running[e.Team]++
 			at := e.At.Sub(epoch)
-			limit := allowed(configs, e.Team, at-limitGrace, at)
+			limit := maxLimit(history, e.Team, at-limitGrace, at)
 			if limit > 0 && running[e.Team] > limit {
 				c.violateAt(at, PromiseLimit, "team %s runs %d of %d with %s on %s", e.Team, running[e.Team], limit, e.Task, e.Worker)
 			}
@@ -241,9 +244,9 @@
 func (c *Cell) checkLeaving(events []standin.Event) {
 	for _, e := range events {
 		at := e.At.Sub(epoch)
-		shown, leaving := c.leaving[e.Worker]
-		if e.Kind == standin.EventStart && leaving && at > shown+leavingGrace {
-			c.violateAt(at, PromiseLeaving, "%s started on %s, listed as leaving since %v", e.Task, e.Worker, shown)
+		since, leaving := c.leavingSince[e.Worker]
+		if e.Kind == standin.EventStart && leaving && at > since+leavingGrace {
+			c.violateAt(at, PromiseLeaving, "%s started on %s, listed as leaving since %v", e.Task, e.Worker, since)
 		}
 	}
 }
--- a/internal/testcell/check_calls.go
+++ b/internal/testcell/check_calls.go
@@ -11,7 +11,7 @@
 	"pollenbend/internal/verdict"
 )
 
-// taskHistory is what workers did with the runs of one request.
+// taskHistory holds the starts and ends of all runs of one request.
 type taskHistory struct {
 	starts []time.Duration
 	ends   []model.Outcome
@@ -35,45 +35,45 @@
 
 func (c *Cell) checkCalls(events []standin.Event) {
 	byTask := historyByTask(events)
-	configs := c.configs()
+	configs := c.configHistory()
 	for _, call := range c.calls {
 		c.checkAnswered(call)
 		if call.Request.Op != model.OpCall || !call.answered() {
 			continue
 		}
-		h := byTask[call.base()]
+		h := byTask[call.baseTask()]
 		c.checkNotRun(call, h)
 		c.checkDone(call, h)
 		c.checkKey(call, configs)
 	}
 }
 
-// checkAnswered wants one answer by the deadline, counted from the end of a pause
-// of the instance. A caller of an instance that died or is paused is answered by
-// its own client.
+// checkAnswered checks that a call got exactly one answer by its deadline. After a
+// pause of the instance, the timeout counts from the end of the pause. Callers of a
+// killed or paused instance are exempt: their own client ends the call.
 func (c *Cell) checkAnswered(call *Call) {
 	if n := len(call.Answers); n > 1 {
 		c.violateAt(call.Answers[1].At, PromiseAnswer, "call %d to %s got %d answers", call.Handle, call.Via, n)
 	}
 	in := c.instances[call.Via]
-	late := max(call.Deadline, in.steadySince+call.Deadline-call.SentAt) + answerGrace
-	if call.answered() || call.Lost || in.paused || c.now <= late {
+	answerDeadline := max(call.Deadline, in.availableSince+call.Deadline-call.SentAt) + answerGrace
+	if call.answered() || call.Lost || in.paused || c.now <= answerDeadline {
 		return
 	}
-	c.violateAt(late, PromiseAnswer, "call %d to %s (%s) has no answer", call.Handle, call.Via, call.ID())
+	c.violateAt(answerDeadline, PromiseAnswer, "call %d to %s (%s) has no answer", call.Handle, call.Via, call.ID())
 }
 
-// refusesAttempt lists the codes that speak of one attempt to hand in a request
-// and not of the request itself.
-var refusesAttempt = map[verdict.Code]bool{
+// attemptCodes are the codes that refuse one attempt to submit a request and state
+// nothing about the request itself.
+var attemptCodes = map[verdict.Code]bool{
 	verdict.CodeUnavailable: true, verdict.CodeUnauthorized: true, verdict.CodeForbidden: true,
 	verdict.CodeOverloaded: true, verdict.CodeDraining: true, verdict.CodeConflict: true,
 	verdict.CodeStaleAuthority: true, verdict.CodeBadRequest: true,
 }
 
-// checkNotRun wants no start of a request that was answered with "not run". When
-// another attempt at the same request may have led to the start, only a verdict
-// on the request itself counts, and only starts before the later attempt.
+// checkNotRun checks that a request that was answered with "not run" did not start.
+// If another attempt of the same request may have caused the start, only verdicts
+// about the request itself are checked, against starts before the later attempt.
 func (c *Cell) checkNotRun(call *Call, h taskHistory) {
 	answer := call.Answers[0]
 	if answer.Answer.Verdict != verdict.NotRun {
@@ -81,45 +81,46 @@
 	}
 	until := time.Duration(1<<63 - 1)
 	for _, other := range c.calls {
-		if other == call || other.Request.Op != model.OpCall || other.base() != call.base() || other.refused() {
+		if other == call || other.Request.Op != model.OpCall || other.baseTask() != call.baseTask() || other.notRun() {
 			continue
 		}
-		if refusesAttempt[answer.Answer.Code] {
+		if attemptCodes[answer.Answer.Code] {
 			return
 		}
-		if end := other.end(); end > answer.At {
+		if end := other.waitEnd(); end > answer.At {
 			until = min(until, max(other.SentAt, answer.At))
 		}
 	}
 	for _, at := range h.starts {
 		if at < until {
 			c.violateAt(at, PromiseNotRun, "%s started, but call %d was answered not run (%s) at %v",
-				call.base(), call.Handle, answer.Answer.Code, answer.At)
+				call.baseTask(), call.Handle, answer.Answer.Code, answer.At)
 			return
 		}
 	}
 }
 
-func (c *Call) refused() bool {
+func (c *Call) notRun() bool {
 	return c.answered() && c.Answers[0].Answer.Verdict == verdict.NotRun
 }
 
-// end returns when a call's caller stopped waiting.
-func (c *Call) end() time.Duration {
+// waitEnd returns when the caller got a definite answer. Without one it returns the
+// maximum duration, because the request may still run.
+func (c *Call) waitEnd() time.Duration {
 	if c.answered() && c.Verdict() != verdict.MayHaveRun {
 		return c.Answers[0].At
 	}
 	return 1<<63 - 1
 }
 
-// echo is the stand-in's answer.
-type echo struct {
+// echoAnswer is the answer that the stand-in worker returns for a task.
+type echoAnswer struct {
 	Echo []byte       `json:"echo"`
 	Task model.TaskID `json:"task"`
 }
 
-// checkDone wants the body that a worker gave as the complete answer to this very
-// request.
+// checkDone checks that the body of a "done" answer is the complete answer that a
+// worker returned for this request.
 func (c *Cell) checkDone(call *Call, h taskHistory) {
 	answer := call.Answers[0]
 	if answer.Answer.Verdict != verdict.Done {
@@ -131,16 +132,16 @@
 				return
 			}
 		}
-		c.violateAt(answer.At, PromiseDone, "call %d was answered failed, but no run of %s failed", call.Handle, call.base())
+		c.violateAt(answer.At, PromiseDone, "call %d was answered failed, but no run of %s failed", call.Handle, call.baseTask())
 		return
 	}
-	var e echo
+	var e echoAnswer
 	if err := json.Unmarshal(answer.Answer.Body, &e); err != nil {
-		c.violateAt(answer.At, PromiseDone, "call %d got a cut answer: %v", call.Handle, err)
+		c.violateAt(answer.At, PromiseDone, "call %d got an invalid answer: %v", call.Handle, err)
 		return
 	}
-	if !bytes.Equal(e.Echo, call.Request.Task.Payload) || model.BaseTask(e.Task) != call.base() {
-		c.violateAt(answer.At, PromiseDone, "call %d (%s) got the answer of %s", call.Handle, call.base(), e.Task)
+	if !bytes.Equal(e.Echo, call.Request.Task.Payload) || model.BaseTask(e.Task) != call.baseTask() {
+		c.violateAt(answer.At, PromiseDone, "call %d (%s) got the answer of %s", call.Handle, call.baseTask(), e.Task)
 		return
 	}
 	for _, out := range h.ends {
@@ -151,16 +152,16 @@
 	c.violateAt(answer.At, PromiseDone, "call %d got an answer that no worker gave", call.Handle)
 }
 
-// checkKey wants a refusal for a key that had been withdrawn for a while when the
-// request came.
-func (c *Cell) checkKey(call *Call, configs []configAt) {
+// checkKey checks that a request was refused if its key had been withdrawn for at
+// least withdrawalGrace when it was sent.
+func (c *Cell) checkKey(call *Call, configs []configVersion) {
 	if call.Request.Key == "" {
 		return
 	}
 	hash := declare.HashSecret(call.Request.Key)
 	for i, v := range configs {
-		over := i+1 < len(configs) && configs[i+1].at <= call.SentAt-withdrawalGrace
-		if _, ok := v.keys[hash]; ok && !over {
+		replaced := i+1 < len(configs) && configs[i+1].at <= call.SentAt-withdrawalGrace
+		if _, ok := v.keys[hash]; ok && !replaced {
 			return
 		}
 	}
@@ -169,23 +170,23 @@
 	}
 }
 
-// checkConfig wants every accepted change in force at each instance that was up
-// and in touch with the log for long enough.
+// checkConfig checks that every accepted change is in force at each instance that
+// has been running and able to reach the log for limitGrace.
 func (c *Cell) checkConfig() {
 	var wanted uint64
-	for _, v := range c.configs() {
+	for _, v := range c.configHistory() {
 		if v.at <= c.now-limitGrace {
 			wanted = v.version
 		}
 	}
 	for _, id := range c.order {
 		in := c.instances[id]
-		steady := max(in.steadySince, c.logSince)
-		if !in.running() || c.noLog[id] || c.log.Faults() != (LogFaults{}) || c.now-steady < limitGrace {
+		since := max(in.availableSince, c.logFaultsSetAt)
+		if !in.running() || c.logUnreachable[id] || c.log.Faults() != (LogFaults{}) || c.now-since < limitGrace {
 			continue
 		}
-		if in.version < wanted {
-			c.violate(PromiseConfig, "%s has version %d in force, version %d was accepted", id, in.version, wanted)
+		if in.maxVersion < wanted {
+			c.violate(PromiseConfig, "%s has version %d in force, version %d was accepted", id, in.maxVersion, wanted)
 		}
 	}
 }
--- a/internal/testcell/instance.go
+++ b/internal/testcell/instance.go
@@ -13,27 +13,27 @@
 	"pollenbend/internal/wire"
 )
 
-// instance is one of the system's instances: a core, and the input and output
-// that the node would do for it.
+// instance is one instance of the system: a core with the input and output that
+// internal/node does in production.
 type instance struct {
-	cell   *Cell
-	info   platform.Instance
-	core   *core.Core
-	config configView
-	begun  time.Duration
-	drift  float64 // of its clock against the cell's
-	alive  bool
-	paused bool
-	held   []func() // what arrived during a pause
+	cell      *Cell
+	info      platform.Instance
+	core      *core.Core
+	config    configView
+	startTime time.Duration
+	drift     float64 // relative drift of its clock against the cell's
+	alive     bool
+	paused    bool
+	deferred  []func() // deliveries that wait for the end of a pause
 
-	appends     []event.Append
-	appending   bool
-	nextRead    uint64
-	steadySince time.Duration // since when it runs and may reach the log
-	lastRead    time.Duration
-	askedAt     time.Duration // on the instance's clock, of the open read
-	reading     bool
-	version     uint64 // highest configuration version seen in this life
+	appends        []event.Append
+	appending      bool
+	nextRead       uint64
+	availableSince time.Duration // since when it runs without a pause and can reach the log
+	lastRead       time.Duration
+	readSentAt     time.Duration // of the open read, on the instance's clock
+	reading        bool
+	maxVersion     uint64 // highest configuration version of this incarnation
 }
 
 type configView interface {
@@ -54,68 +54,68 @@
 	return wire.Owner{Instance: in.info.ID, Incarnation: in.info.Incarnation}
 }
 
-func (in *instance) clock() time.Duration {
-	return time.Duration(float64(in.cell.now-in.begun) * (1 + in.drift))
+func (in *instance) clockTime() time.Duration {
+	return time.Duration(float64(in.cell.now-in.startTime) * (1 + in.drift))
 }
 
 func (in *instance) running() bool { return in.alive && !in.paused }
 
-// deliver runs f at the instance after d, unless this life has ended by then.
-// During a pause f waits for its end.
+// deliver runs f at the instance after d, unless its incarnation has ended by then.
+// During a pause, f is deferred to the end of the pause.
 func (in *instance) deliver(d time.Duration, f func()) {
-	life := in.info.Incarnation
-	in.cell.after(d, func() {
+	incarnation := in.info.Incarnation
+	in.cell.runAfter(d, func() {
 		switch {
-		case !in.alive || in.info.Incarnation != life:
+		case !in.alive || in.info.Incarnation != incarnation:
 		case in.paused:
-			in.held = append(in.held, f)
+			in.deferred = append(in.deferred, f)
 		default:
 			f()
 		}
 	})
 }
 
-func (in *instance) post(d time.Duration, e event.Event) {
+func (in *instance) deliverEvent(d time.Duration, e event.Event) {
 	in.deliver(d, func() { in.step(e) })
 }
 
-// every runs f at a steady rate during this life, but not in pauses.
-func (in *instance) every(interval time.Duration, f func()) {
-	life := in.info.Incarnation
-	var next func()
-	next = func() {
-		if !in.alive || in.info.Incarnation != life {
+// runEvery runs f at an interval during this incarnation, except in pauses.
+func (in *instance) runEvery(interval time.Duration, f func()) {
+	incarnation := in.info.Incarnation
+	var tick func()
+	tick = func() {
+		if !in.alive || in.info.Incarnation != incarnation {
 			return
 		}
 		if !in.paused {
 			f()
 		}
-		in.cell.after(interval, next)
+		in.cell.runAfter(interval, tick)
 	}
-	in.cell.after(in.cell.between(0, interval), next)
+	in.cell.runAfter(in.cell.randomDuration(0, interval), tick)
 }
 
 func (in *instance) step(e event.Event) {
-	actions := in.core.Step(in.clock(), in.cell.tamperEvent(in, e))
+	actions := in.core.Step(in.clockTime(), in.cell.tamperEvent(in, e))
 	for _, a := range actions {
 		for _, b := range in.cell.tamperAction(in, a) {
-			in.act(b)
+			in.execute(b)
 		}
 	}
 	if _, read := e.(event.LogRead); read {
-		in.noteVersion()
+		in.checkVersion()
 	}
 }
 
-func (in *instance) noteVersion() {
+func (in *instance) checkVersion() {
 	_, version := in.config.Document()
-	if version < in.version {
-		in.cell.violate(PromiseConfig, "%s fell from version %d to %d", in.info.ID, in.version, version)
+	if version < in.maxVersion {
+		in.cell.violate(PromiseConfig, "%s fell from version %d to %d", in.info.ID, in.maxVersion, version)
 	}
-	in.version = max(in.version, version)
+	in.maxVersion = max(in.maxVersion, version)
 }
 
-func (in *instance) act(a event.Action) {
+func (in *instance) execute(a event.Action) {
 	switch a := a.(type) {
 	case event.Append:
 		in.appends = append(in.appends, a)
@@ -133,16 +133,17 @@
 	}
 }
 
-// Restart starts an instance, or kills it and starts it anew without memory.
+// Restart starts a new incarnation of an instance, without any memory. It kills
+// the instance first if it is running.
 func (c *Cell) Restart(id model.InstanceID) {
 	in := c.instances[id]
 	c.Kill(id)
 	in.info.Incarnation++
-	in.alive, in.paused, in.held = true, false, nil
-	in.begun, in.steadySince = c.now, c.now
+	in.alive, in.paused, in.deferred = true, false, nil
+	in.startTime, in.availableSince = c.now, c.now
 	in.drift = (2*c.rng.Float64() - 1) * maxDrift
 	in.appends, in.appending, in.reading = nil, false, false
-	in.nextRead, in.lastRead, in.askedAt, in.version = 1, c.now, 0, 0
+	in.nextRead, in.lastRead, in.readSentAt, in.maxVersion = 1, c.now, 0, 0
 	var err error
 	in.core, err = core.New(core.Options{Self: in.info, Timing: c.options.Timing, Seed: c.rng.Uint64()})
 	if err != nil {
@@ -152,25 +153,25 @@
 	if err != nil {
 		panic(err)
 	}
-	c.list.PutInstance(c.wall(), in.info)
+	c.list.PutInstance(c.wallTime(), in.info)
 	c.reconnectAll(in)
-	in.every(tickInterval, func() { in.step(event.Tick{}) })
-	in.every(listInterval, func() {
-		in.post(c.latency(), event.Listed{Listing: c.list.List(c.wall())})
+	in.runEvery(tickInterval, func() { in.step(event.Tick{}) })
+	in.runEvery(listInterval, func() {
+		in.deliverEvent(c.randomLatency(), event.Listed{Listing: c.list.List(c.wallTime())})
 	})
-	in.every(readInterval, func() { c.readLog(in) })
+	in.runEvery(readInterval, func() { c.readLog(in) })
 }
 
-// Kill ends an instance at once. Its memory is lost.
+// Kill stops an instance at once. Its memory is lost.
 func (c *Cell) Kill(id model.InstanceID) {
 	in := c.instances[id]
 	if !in.alive {
 		return
 	}
-	in.alive, in.paused, in.held = false, false, nil
-	c.list.RemoveInstance(c.wall(), id)
+	in.alive, in.paused, in.deferred = false, false, nil
+	c.list.RemoveInstance(c.wallTime(), id)
 	for _, l := range c.linksOf(id) {
-		c.loseLater(l, c.between(0, c.options.Timing.DeadAfter))
+		c.disconnectLater(l, c.randomDuration(0, c.options.Timing.DeadAfter))
 	}
 	for _, call := range c.calls {
 		if call.Via == id && !call.answered() {
@@ -179,7 +180,7 @@
 	}
 }
 
-// Pause stops an instance as a stop signal does: what arrives waits.
+// Pause suspends an instance, as SIGSTOP does. Deliveries wait until Wake.
 func (c *Cell) Pause(id model.InstanceID) {
 	in := c.instances[id]
 	if !in.running() {
@@ -187,33 +188,33 @@
 	}
 	in.paused = true
 	for _, l := range c.linksOf(id) {
-		c.loseLater(l, c.options.Timing.DeadAfter+c.between(0, time.Second))
+		c.disconnectLater(l, c.options.Timing.DeadAfter+c.randomDuration(0, time.Second))
 	}
 }
 
-// Wake ends a pause. What arrived meanwhile is handled in order.
+// Wake ends a pause. The deferred deliveries are handled in order.
 func (c *Cell) Wake(id model.InstanceID) {
 	in := c.instances[id]
 	if !in.alive || !in.paused {
 		return
 	}
-	in.paused, in.steadySince = false, c.now
-	held := in.held
-	in.held = nil
+	in.paused, in.availableSince = false, c.now
+	deferred := in.deferred
+	in.deferred = nil
 	if c.rng.IntN(2) == 0 {
 		in.step(event.Tick{})
 	}
-	for _, f := range held {
+	for _, f := range deferred {
 		f()
 	}
 }
 
 // Drain starts a graceful shutdown of an instance.
 func (c *Cell) Drain(id model.InstanceID) {
-	c.instances[id].post(0, event.DrainStarted{})
+	c.instances[id].deliverEvent(0, event.DrainStarted{})
 }
 
-// Drained reports whether a draining instance has nothing left to finish.
+// Drained reports whether an instance has no open callers and no busy requests.
 func (c *Cell) Drained(id model.InstanceID) bool {
 	k := c.instances[id].core.Kernel()
 	open, err := kernel.Find[interface{ Open() int }](k, service.Gateway)
@@ -227,7 +228,8 @@
 	return open.Open() == 0 && busy.Busy() == 0
 }
 
-// appendNext appends what an instance has gathered, as one entry at a time.
+// appendNext appends the pending records of an instance as one entry, unless an
+// append is in progress.
 func (c *Cell) appendNext(in *instance) {
 	if in.appending || len(in.appends) == 0 {
 		return
@@ -235,7 +237,7 @@
 	in.appending = true
 	batch := in.appends
 	in.appends = nil
-	life := in.info.Incarnation
+	incarnation := in.info.Incarnation
 	answered := false
 	finish := func(d time.Duration, offset uint64, v verdict.Verdict) {
 		in.deliver(d, func() {
@@ -251,11 +253,11 @@
 		})
 	}
 	finish(callTimeout, 0, verdict.MayHaveRun)
-	c.after(c.latency(), func() {
-		if in.info.Incarnation != life {
+	c.runAfter(c.randomLatency(), func() {
+		if in.info.Incarnation != incarnation {
 			return
 		}
-		if c.noLog[in.info.ID] {
+		if c.logUnreachable[in.info.ID] {
 			return
 		}
 		var records []wire.Record
@@ -263,7 +265,7 @@
 			records = append(records, a.Records...)
 		}
 		offset, err := c.appendRecords(records)
-		finish(c.latency()+c.log.Faults().Slow, offset, verdict.Of(err))
+		finish(c.randomLatency()+c.log.Faults().Slow, offset, verdict.Of(err))
 	})
 }
 
@@ -273,31 +275,32 @@
 		panic(err)
 	}
 	before := c.nextOffset()
-	offset, err := c.log.Append(c.wall(), stream, data)
+	offset, err := c.log.Append(c.wallTime(), stream, data)
 	if next := c.nextOffset(); next > before {
-		c.appended = append(c.appended, appended{offset: next - 1, at: c.now, records: records})
+		c.logEntries = append(c.logEntries, logEntry{offset: next - 1, at: c.now, records: records})
 	}
 	return offset, err
 }
 
-// nextOffset counts from the log's own state, because an answer may be lost.
+// nextOffset returns the next offset from the log's state, because the answer to
+// an append may be lost. It reads the log also while it is down.
 func (c *Cell) nextOffset() uint64 {
 	f := c.log.Faults()
 	up := f
 	up.Down = false
-	c.log.SetFaults(c.wall(), up)
+	c.log.SetFaults(c.wallTime(), up)
 	batch, err := c.log.Read(stream, 1<<62, 1)
 	if err != nil {
 		panic(err)
 	}
-	c.log.SetFaults(c.wall(), f)
+	c.log.SetFaults(c.wallTime(), f)
 	return batch.Next
 }
 
-// readLog answers an instance's read when there are new entries or its wait is
-// over.
+// readLog answers an instance's read when there are new entries or when the read
+// has waited for readWait.
 func (c *Cell) readLog(in *instance) {
-	if c.noLog[in.info.ID] || in.reading {
+	if c.logUnreachable[in.info.ID] || in.reading {
 		return
 	}
 	batch, err := c.log.Read(stream, in.nextRead, readLimit)
@@ -308,12 +311,12 @@
 		return
 	}
 	slow := c.log.Faults().Slow
-	asked := in.askedAt
+	sentAt := in.readSentAt
 	in.reading = true
-	in.deliver(min(c.latency()+slow, readWait+callTimeout), func() {
+	in.deliver(min(c.randomLatency()+slow, readWait+callTimeout), func() {
 		in.reading = false
 		in.lastRead = c.now
-		in.askedAt = in.clock()
+		in.readSentAt = in.clockTime()
 		if slow > readWait+callTimeout {
 			return
 		}
@@ -321,19 +324,19 @@
 			in.nextRead = batch.Entries[k-1].Offset + 1
 		}
 		in.step(event.LogRead{
-			Entries: batch.Entries, Oldest: batch.Oldest, Next: batch.Next, AskedAt: asked,
+			Entries: batch.Entries, Oldest: batch.Oldest, Next: batch.Next, AskedAt: sentAt,
 		})
 	})
 }
 
-// Version returns the highest configuration version that an instance has in force.
+// Version returns the highest configuration version in force at any instance.
 func (c *Cell) Version() uint64 {
 	var highest uint64
 	for _, in := range c.instances {
-		highest = max(highest, in.version)
+		highest = max(highest, in.maxVersion)
 	}
 	return highest
 }
 
-// Alive reports whether an instance was started and not killed since.
+// Alive reports whether an instance has been started and not killed since.
 func (c *Cell) Alive(id model.InstanceID) bool { return c.instances[id].alive }
--- a/internal/testcell/network.go
+++ b/internal/testcell/network.go
@@ -8,197 +8,199 @@
 	"pollenbend/internal/wire"
 )
 
-// pair names two instances, the lower id first.
+// pair identifies two instances. The lower id comes first.
 type pair struct{ a, b model.InstanceID }
 
-func pairOf(a, b model.InstanceID) pair {
+func newPair(a, b model.InstanceID) pair {
 	if b < a {
 		a, b = b, a
 	}
 	return pair{a, b}
 }
 
-// link is the connection of two instances. It carries messages in order. While
-// it is cut, messages wait; they are lost with the connection.
+// link is the network path between two instances. Its connection delivers messages
+// in order. While the link is partitioned, messages are buffered; they are lost
+// when the connection ends.
 type link struct {
-	pair    pair
-	up      bool
-	epoch   uint64 // counts connections
-	cut     bool
-	silent  bool // of the present connection
-	waiting []func()
-	last    map[model.InstanceID]time.Duration // arrival of the last message by receiver
-	ends    map[model.InstanceID]wire.Owner    // of the present connection
+	pair         pair
+	up           bool
+	connectionID uint64 // changes whenever a connection starts or ends
+	partitioned  bool
+	blackholed   bool // the current connection drops all messages
+	buffered     []func()
+	lastArrival  map[model.InstanceID]time.Duration // arrival of the last message by receiver
+	owners       map[model.InstanceID]wire.Owner    // of the current connection, by instance
 }
 
 const reconnectInterval = 250 * time.Millisecond
 
-func (c *Cell) linkOf(a, b model.InstanceID) *link {
-	p := pairOf(a, b)
+func (c *Cell) linkBetween(a, b model.InstanceID) *link {
+	p := newPair(a, b)
 	l, ok := c.links[p]
 	if !ok {
-		l = &link{pair: p, last: make(map[model.InstanceID]time.Duration), ends: make(map[model.InstanceID]wire.Owner)}
+		l = &link{pair: p, lastArrival: make(map[model.InstanceID]time.Duration), owners: make(map[model.InstanceID]wire.Owner)}
 		c.links[p] = l
 	}
 	return l
 }
 
-// linksOf returns the links of an instance in the order of the other ends.
+// linksOf returns the links of an instance in the order of the other instances.
 func (c *Cell) linksOf(id model.InstanceID) []*link {
 	var list []*link
 	for _, other := range c.order {
 		if other != id {
-			list = append(list, c.linkOf(id, other))
+			list = append(list, c.linkBetween(id, other))
 		}
 	}
 	return list
 }
 
-// send carries a message. On a connection that is down it is dropped.
+// send sends a message. It drops the message if there is no connection.
 func (c *Cell) send(in *instance, a event.Send) {
 	to, ok := c.instances[a.To]
 	if !ok {
 		return
 	}
-	l := c.linkOf(in.info.ID, a.To)
-	if !l.up || l.silent {
+	l := c.linkBetween(in.info.ID, a.To)
+	if !l.up || l.blackholed {
 		return
 	}
 	data, err := wire.EncodeMessage(a.Message)
 	if err != nil {
 		panic(err)
 	}
-	carry := func() { c.carry(l, in.owner(), to, data) }
-	if l.cut {
-		l.waiting = append(l.waiting, carry)
+	transmit := func() { c.transmit(l, in.owner(), to, data) }
+	if l.partitioned {
+		l.buffered = append(l.buffered, transmit)
 		return
 	}
-	carry()
+	transmit()
 }
 
-func (c *Cell) carry(l *link, from wire.Owner, to *instance, data []byte) {
-	at := max(c.now+c.latency(), l.last[to.info.ID])
-	l.last[to.info.ID] = at
-	epoch, life := l.epoch, to.info.Incarnation
-	c.after(at-c.now, func() {
-		if l.epoch != epoch || to.info.Incarnation != life || l.silent {
+func (c *Cell) transmit(l *link, from wire.Owner, to *instance, data []byte) {
+	at := max(c.now+c.randomLatency(), l.lastArrival[to.info.ID])
+	l.lastArrival[to.info.ID] = at
+	connectionID, incarnation := l.connectionID, to.info.Incarnation
+	c.runAfter(at-c.now, func() {
+		if l.connectionID != connectionID || to.info.Incarnation != incarnation || l.blackholed {
 			return
 		}
 		m, err := wire.DecodeMessage(data)
 		if err != nil {
 			panic(err)
 		}
-		to.post(0, event.PeerMessage{From: from, Message: m})
+		to.deliverEvent(0, event.PeerMessage{From: from, Message: m})
 	})
 }
 
-// lose ends the present connection of a link: both ends are told, and messages
-// under way are lost.
-func (c *Cell) lose(l *link) {
+// disconnect ends the current connection of a link. Both ends get a PeerDown event,
+// and messages in flight are lost.
+func (c *Cell) disconnect(l *link) {
 	if !l.up {
 		return
 	}
 	l.up = false
-	l.silent = false
-	l.epoch++
-	l.waiting = nil
+	l.blackholed = false
+	l.connectionID++
+	l.buffered = nil
 	for _, p := range []pair{l.pair, {l.pair.b, l.pair.a}} {
-		if in := c.instances[p.a]; in.alive && in.owner() == l.ends[p.a] {
-			in.post(c.latency(), event.PeerDown{Peer: l.ends[p.b]})
+		if in := c.instances[p.a]; in.alive && in.owner() == l.owners[p.a] {
+			in.deliverEvent(c.randomLatency(), event.PeerDown{Peer: l.owners[p.b]})
 		}
 	}
-	c.after(c.between(reconnectInterval, 2*reconnectInterval), func() { c.reconnect(l) })
+	c.runAfter(c.randomDuration(reconnectInterval, 2*reconnectInterval), func() { c.reconnect(l) })
 }
 
-// loseLater ends the present connection after d, if it still does not carry
-// messages by then.
-func (c *Cell) loseLater(l *link, d time.Duration) {
-	epoch := l.epoch
-	c.after(d, func() {
-		if l.epoch == epoch && c.broken(l) {
-			c.lose(l)
+// disconnectLater ends the current connection after d if it is still unusable then.
+func (c *Cell) disconnectLater(l *link, d time.Duration) {
+	connectionID := l.connectionID
+	c.runAfter(d, func() {
+		if l.connectionID == connectionID && c.unusable(l) {
+			c.disconnect(l)
 		}
 	})
 }
 
-// broken reports whether the present connection carries nothing.
-func (c *Cell) broken(l *link) bool {
+// unusable reports whether the current connection can't deliver messages.
+func (c *Cell) unusable(l *link) bool {
 	a, b := c.instances[l.pair.a], c.instances[l.pair.b]
-	stale := a.owner() != l.ends[l.pair.a] || b.owner() != l.ends[l.pair.b]
-	return l.cut || l.silent || stale || !a.running() || !b.running()
+	stale := a.owner() != l.owners[l.pair.a] || b.owner() != l.owners[l.pair.b]
+	return l.partitioned || l.blackholed || stale || !a.running() || !b.running()
 }
 
 func (c *Cell) reconnectAll(in *instance) {
 	for _, l := range c.linksOf(in.info.ID) {
-		c.lose(l)
-		c.after(c.latency(), func() { c.reconnect(l) })
+		c.disconnect(l)
+		c.runAfter(c.randomLatency(), func() { c.reconnect(l) })
 	}
 }
 
-// reconnect connects a link, or tries again later.
+// reconnect starts a new connection, or retries later.
 func (c *Cell) reconnect(l *link) {
 	if l.up {
 		return
 	}
 	a, b := c.instances[l.pair.a], c.instances[l.pair.b]
 	if !a.alive || !b.alive {
-		return // a restart connects
+		return // Restart reconnects the instance
 	}
-	if l.cut || a.paused || b.paused {
-		epoch := l.epoch
-		c.after(reconnectInterval, func() {
-			if l.epoch == epoch {
+	if l.partitioned || a.paused || b.paused {
+		connectionID := l.connectionID
+		c.runAfter(reconnectInterval, func() {
+			if l.connectionID == connectionID {
 				c.reconnect(l)
 			}
 		})
 		return
 	}
 	l.up = true
-	l.epoch++
-	l.ends[l.pair.a], l.ends[l.pair.b] = a.owner(), b.owner()
+	l.connectionID++
+	l.owners[l.pair.a], l.owners[l.pair.b] = a.owner(), b.owner()
 }
 
-// Cut breaks the network between two instances until Heal.
+// Cut partitions the network between two instances until Heal.
 func (c *Cell) Cut(a, b model.InstanceID) {
-	l := c.linkOf(a, b)
-	l.cut = true
-	c.loseLater(l, c.between(c.options.Timing.DeadAfter/2, c.options.Timing.DeadAfter))
+	l := c.linkBetween(a, b)
+	l.partitioned = true
+	c.disconnectLater(l, c.randomDuration(c.options.Timing.DeadAfter/2, c.options.Timing.DeadAfter))
 }
 
-// Silence makes the present connection of two instances swallow everything. A
-// new one, which is made when the silence is noticed, works.
+// Silence makes the current connection of two instances drop every message. The
+// instances detect this after a while and start a new connection, which works.
 func (c *Cell) Silence(a, b model.InstanceID) {
-	l := c.linkOf(a, b)
-	l.silent = l.up
-	c.loseLater(l, c.options.Timing.DeadAfter+c.between(0, time.Second))
+	l := c.linkBetween(a, b)
+	l.blackholed = l.up
+	c.disconnectLater(l, c.options.Timing.DeadAfter+c.randomDuration(0, time.Second))
 }
 
-// Heal ends every cut between instances, from the log and from workers.
+// Heal ends all partitions: between instances, and of instances from the log and
+// from workers.
 func (c *Cell) Heal() {
 	for i, a := range c.order {
 		for _, b := range c.order[i+1:] {
 			c.HealLink(a, b)
 		}
 	}
-	for id := range c.noLog {
-		c.instances[id].steadySince = c.now
+	for id := range c.logUnreachable {
+		c.instances[id].availableSince = c.now
 	}
-	clear(c.noLog)
+	clear(c.logUnreachable)
 	for _, w := range c.workers {
-		clear(w.cutFrom)
+		clear(w.unreachableFrom)
 	}
 }
 
-// HealLink ends the cut between two instances.
+// HealLink ends the partition between two instances and delivers the buffered
+// messages.
 func (c *Cell) HealLink(a, b model.InstanceID) {
-	l := c.linkOf(a, b)
-	l.cut = false
-	waiting := l.waiting
-	l.waiting = nil
-	for _, carry := range waiting {
-		carry()
+	l := c.linkBetween(a, b)
+	l.partitioned = false
+	buffered := l.buffered
+	l.buffered = nil
+	for _, transmit := range buffered {
+		transmit()
 	}
 }
 
-// CutLog keeps an instance from the log until Heal.
-func (c *Cell) CutLog(id model.InstanceID) { c.noLog[id] = true }
+// CutLog makes the log unreachable from an instance until Heal.
+func (c *Cell) CutLog(id model.InstanceID) { c.logUnreachable[id] = true }
--- a/internal/testcell/tamper.go
+++ b/internal/testcell/tamper.go
@@ -7,25 +7,25 @@
 	"pollenbend/internal/standin"
 )
 
-// LogFaults are the faults of the log.
+// LogFaults are the injected faults of the log.
 type LogFaults = standin.LogFaults
 
-// Tamper plants a known fault between the cores and the world.
+// Tamper injects a fault between the cores and their environment.
 type Tamper interface {
-	// Event may replace what enters a core.
+	// Event returns the event that a core handles in place of e.
 	Event(at model.InstanceID, e event.Event) event.Event
-	// Action may replace or repeat what leaves a core.
+	// Action returns the actions that are executed in place of a.
 	Action(at model.InstanceID, a event.Action) []event.Action
-	// Start may alter a start when it arrives at a worker.
+	// Start returns the request that a worker receives in place of r.
 	Start(at model.WorkerID, r platform.StartRequest) platform.StartRequest
 }
 
-// SetTamper plants a fault, to test that Check finds it.
+// SetTamper injects a fault, to test that Check detects it.
 func (c *Cell) SetTamper(t Tamper) { c.tamper = t }
 
 // LeaseOf returns the lease in force at a worker; ok is false when there is none.
 func (c *Cell) LeaseOf(id model.WorkerID) (ref platform.LeaseRef, ok bool) {
-	return c.workers[id].core.Lease(c.wall())
+	return c.workers[id].core.Lease(c.wallTime())
 }
 
 func (c *Cell) tamperEvent(in *instance, e event.Event) event.Event {
--- a/internal/testcell/worker.go
+++ b/internal/testcell/worker.go
@@ -12,164 +12,167 @@
 	"pollenbend/internal/verdict"
 )
 
-// worker carries commands to a worker's stand-in.
+// worker delivers commands to a stand-in worker.
 type worker struct {
-	cell    *Cell
-	core    *standin.WorkerCore
-	held    []func()
-	polls   []*poll
-	cutFrom map[model.InstanceID]bool
-	// loseRenew loses the answers of renewals; delay holds commands up.
-	loseRenew bool
-	delay     time.Duration
-	wakeAt    time.Duration
+	cell            *Cell
+	core            *standin.WorkerCore
+	heldCommands    []func()
+	pendingRenewals []*pendingRenewal
+	unreachableFrom map[model.InstanceID]bool
+	// loseRenewals drops the answers of renewals; commandDelay delays commands.
+	loseRenewals bool
+	commandDelay time.Duration
+	nextUpdate   time.Duration
 }
 
-// poll is a renewal whose answer waits for an event.
-type poll struct {
+// pendingRenewal is a renewal whose answer waits for an event of the worker.
+type pendingRenewal struct {
 	in      *instance
 	request platform.RenewRequest
 	until   time.Duration
 	answer  func(platform.RenewReply, bool)
 }
 
-// AddWorkers starts and lists n workers named w1, w2 and so on, six to a rack.
+// AddWorkers starts and lists n workers with the next names of w1, w2 and so on.
 func (c *Cell) AddWorkers(n int, capacity model.Resources, labels map[string]string) {
 	for range n {
 		id := model.WorkerID("w" + itoa(len(c.workers)+1))
 		info := model.Worker{ID: id, Addr: string(id), Capacity: capacity, Labels: maps.Clone(labels)}
 		settings := standin.WorkerSettings{TaskLease: c.options.Timing.TaskLease, Retention: c.options.Timing.Retention}
 		c.workers[id] = &worker{
-			cell: c, core: standin.NewWorkerCore(c.wall(), info, settings, c.history),
-			cutFrom: make(map[model.InstanceID]bool),
+			cell: c, core: standin.NewWorkerCore(c.wallTime(), info, settings, c.history),
+			unreachableFrom: make(map[model.InstanceID]bool),
 		}
-		c.list.PutWorker(c.wall(), info)
+		c.list.PutWorker(c.wallTime(), info)
 	}
 }
 
-// WorkerFaults replaces the faults of a worker.
+// WorkerFaults replaces the injected faults of a worker.
 func (c *Cell) WorkerFaults(id model.WorkerID, f standin.WorkerFaults) {
 	w := c.workers[id]
-	w.core.SetFaults(c.wall(), f)
-	w.changed()
+	w.core.SetFaults(c.wallTime(), f)
+	w.update()
 }
 
-// RestartWorker begins a new incarnation of a worker.
+// RestartWorker starts a new incarnation of a worker.
 func (c *Cell) RestartWorker(id model.WorkerID) {
 	w := c.workers[id]
-	w.core.Restart(c.wall())
-	w.held = nil
-	w.changed()
+	w.core.Restart(c.wallTime())
+	w.heldCommands = nil
+	w.update()
 }
 
-// DelayWorker holds up commands to a worker, 0 for no longer.
-func (c *Cell) DelayWorker(id model.WorkerID, d time.Duration) { c.workers[id].delay = d }
+// DelayWorker delays commands to a worker by d; 0 ends the delay.
+func (c *Cell) DelayWorker(id model.WorkerID, d time.Duration) { c.workers[id].commandDelay = d }
 
-// LoseRenewals makes the answers of a worker's renewals get lost, or no longer.
-func (c *Cell) LoseRenewals(id model.WorkerID, lose bool) { c.workers[id].loseRenew = lose }
+// LoseRenewals sets whether the answers of a worker's renewals are lost.
+func (c *Cell) LoseRenewals(id model.WorkerID, lose bool) { c.workers[id].loseRenewals = lose }
 
-// CutWorker breaks the network between an instance and a worker until Heal.
-func (c *Cell) CutWorker(in model.InstanceID, id model.WorkerID) { c.workers[id].cutFrom[in] = true }
+// CutWorker makes a worker unreachable from an instance until Heal.
+func (c *Cell) CutWorker(in model.InstanceID, id model.WorkerID) {
+	c.workers[id].unreachableFrom[in] = true
+}
 
 // LeaveWorker marks a worker as leaving in the list.
 func (c *Cell) LeaveWorker(id model.WorkerID) {
-	c.list.MarkWorkerLeaving(c.wall(), id)
-	c.leaving[id] = c.now + c.lag
+	c.list.MarkWorkerLeaving(c.wallTime(), id)
+	c.leavingSince[id] = c.now + c.listLag
 }
 
-// SetListLag sets the lag of the changes of the instance list that follow.
+// SetListLag sets how long later changes of the instance list take to be visible.
 func (c *Cell) SetListLag(lag time.Duration) {
-	c.lag = lag
+	c.listLag = lag
 	c.list.SetLag(lag)
 }
 
-// changed answers what waited for the worker's state and sets the next timer.
-func (w *worker) changed() {
-	now := w.cell.wall()
+// update runs held commands, answers pending renewals and sets the next timer. It
+// is called after every change of the worker's state.
+func (w *worker) update() {
+	now := w.cell.wallTime()
 	if !w.core.Faults().Paused {
-		held := w.held
-		w.held = nil
+		held := w.heldCommands
+		w.heldCommands = nil
 		for _, f := range held {
 			f()
 		}
 		w.core.Advance(now)
 	}
-	w.answerPolls(now)
-	w.arm()
+	w.answerRenewals(now)
+	w.scheduleUpdate()
 }
 
-func (w *worker) answerPolls(now time.Time) {
+func (w *worker) answerRenewals(now time.Time) {
 	f := w.core.Faults()
 	if f.Paused {
 		return
 	}
-	open := w.polls[:0]
-	for _, p := range w.polls {
+	pending := w.pendingRenewals[:0]
+	for _, p := range w.pendingRenewals {
 		ref, held := w.core.Lease(now)
 		ready := !held || ref != p.request.Lease || w.core.HasEvent(p.request.Since) || w.cell.now >= p.until
 		switch {
 		case !ready:
-			open = append(open, p)
-		case f.Silent || w.loseRenew:
-		case f.Unreachable || w.cutFrom[p.in.info.ID]:
+			pending = append(pending, p)
+		case f.Silent || w.loseRenewals:
+		case f.Unreachable || w.unreachableFrom[p.in.info.ID]:
 			p.answer(platform.RenewReply{}, true)
 		default:
 			p.answer(w.core.Report(now, p.request), false)
 		}
 	}
-	w.polls = slices.Clone(open)
+	w.pendingRenewals = slices.Clone(pending)
 }
 
-func (w *worker) arm() {
+func (w *worker) scheduleUpdate() {
 	at, ok := w.core.Next()
 	if !ok {
 		return
 	}
 	next := max(at.Sub(epoch), w.cell.now)
-	if w.wakeAt > w.cell.now && w.wakeAt <= next {
+	if w.nextUpdate > w.cell.now && w.nextUpdate <= next {
 		return
 	}
-	w.wakeAt = next
-	w.cell.after(next-w.cell.now, w.changed)
+	w.nextUpdate = next
+	w.cell.runAfter(next-w.cell.now, w.update)
 }
 
-// command carries a command of an instance to a worker. It calls run there, and
-// lost at the instance when the worker can't be reached or timeout has passed.
-// Whatever settles first counts.
-func (c *Cell) command(in *instance, id model.WorkerID, timeout time.Duration, run func(w *worker, settle func(func())), lost func()) {
+// command delivers a command of an instance to a worker. It calls execute at the
+// worker, or onLost at the instance when the worker is unreachable or timeout has
+// passed. Only the first completion takes effect.
+func (c *Cell) command(in *instance, id model.WorkerID, timeout time.Duration, execute func(w *worker, complete func(func())), onLost func()) {
 	w, ok := c.workers[id]
 	if !ok {
-		in.deliver(c.latency(), lost)
+		in.deliver(c.randomLatency(), onLost)
 		return
 	}
-	settled := false
-	settle := func(d time.Duration, f func()) {
+	completed := false
+	complete := func(d time.Duration, f func()) {
 		in.deliver(d, func() {
-			if !settled {
-				settled = true
+			if !completed {
+				completed = true
 				f()
 			}
 		})
 	}
-	settle(timeout, lost)
-	c.after(c.latency()+w.delay, func() {
+	complete(timeout, onLost)
+	c.runAfter(c.randomLatency()+w.commandDelay, func() {
 		f := w.core.Faults()
-		answer := func(f func()) { settle(c.latency(), f) }
+		answer := func(f func()) { complete(c.randomLatency(), f) }
 		switch {
-		case f.Unreachable || w.cutFrom[in.info.ID]:
-			answer(lost)
+		case f.Unreachable || w.unreachableFrom[in.info.ID]:
+			answer(onLost)
 		case f.Silent:
 		case f.Paused:
-			w.held = append(w.held, func() { run(w, answer) })
+			w.heldCommands = append(w.heldCommands, func() { execute(w, answer) })
 		default:
-			run(w, answer)
-			w.changed()
+			execute(w, answer)
+			w.update()
 		}
 	})
 }
 
 func (c *Cell) renew(in *instance, a event.Renew) {
-	sentAt := in.clock()
+	sentAt := in.clockTime()
 	done := func(reply platform.RenewReply, failed bool) func() {
 		return func() {
 			in.step(event.RenewDone{
@@ -180,23 +183,23 @@
 	}
 	if a.Request.Release {
 		c.command(in, a.Worker.ID, callTimeout, func(w *worker, _ func(func())) {
-			w.core.Renew(c.wall(), a.Request)
+			w.core.Renew(c.wallTime(), a.Request)
 		}, func() {})
 		return
 	}
-	c.command(in, a.Worker.ID, a.Request.Wait+callTimeout, func(w *worker, settle func(func())) {
+	c.command(in, a.Worker.ID, a.Request.Wait+callTimeout, func(w *worker, complete func(func())) {
 		answer := func(reply platform.RenewReply, failed bool) {
-			if !w.loseRenew {
-				settle(done(reply, failed))
+			if !w.loseRenewals {
+				complete(done(reply, failed))
 			}
 		}
-		reply := w.core.Renew(c.wall(), a.Request)
+		reply := w.core.Renew(c.wallTime(), a.Request)
 		if !reply.Granted || a.Request.Full || a.Request.Wait <= 0 || len(reply.Finished) > 0 {
 			answer(reply, false)
 			return
 		}
-		w.polls = append(w.polls, &poll{in: in, request: a.Request, until: c.now + a.Request.Wait, answer: answer})
-		c.after(a.Request.Wait, w.changed)
+		w.pendingRenewals = append(w.pendingRenewals, &pendingRenewal{in: in, request: a.Request, until: c.now + a.Request.Wait, answer: answer})
+		c.runAfter(a.Request.Wait, w.update)
 	}, done(platform.RenewReply{}, true))
 }
 
@@ -211,17 +214,17 @@
 		}
 		return func() { in.step(e) }
 	}
-	c.command(in, a.Worker.ID, callTimeout, func(w *worker, settle func(func())) {
-		err := w.core.Start(c.wall(), w.tamperStart(a.Request))
+	c.command(in, a.Worker.ID, callTimeout, func(w *worker, complete func(func())) {
+		err := w.core.Start(c.wallTime(), w.tamperStart(a.Request))
 		if w.core.Faults().LoseStartAnswer {
 			err = standin.ErrAnswerLost
 		}
-		settle(done(err))
+		complete(done(err))
 	}, done(standin.ErrUnreachable))
 }
 
 func (c *Cell) stop(in *instance, a event.Stop) {
 	c.command(in, a.Worker.ID, callTimeout, func(w *worker, _ func(func())) {
-		_ = w.core.Stop(c.wall(), a.Request)
+		_ = w.core.Stop(c.wallTime(), a.Request)
 	}, func() {})
 }
