--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,4 @@
-// Package examples holds the worked examples of both deployments, embedded in
-// the binary.
+// Package examples embeds an example of each of the two deployments in the binary.
 package examples
 
 import (
@@ -14,11 +13,11 @@
 //go:embed guild/*.toml styrkeled/*.toml
 var files embed.FS
 
-// Names lists the examples.
+// Names returns the names of the examples.
 func Names() []string { return []string{"guild", "styrkeled"} }
 
-// Load reads the example of that name. It returns an error if there is none or
-// its files have faults.
+// Load reads the example with that name. It returns an error if it does not exist or
+// its files are invalid.
 func Load(name string) (example.Example, error) {
 	dir, err := fs.Sub(files, name)
 	if err != nil {
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -9,7 +9,7 @@
 	"pollenbend/internal/model"
 )
 
-func TestExamplesAreSound(t *testing.T) {
+func TestExamplesAreConsistent(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
 			e, err := Load(name)
@@ -28,7 +28,7 @@
 				queue, ok := s.Queue(q.Queue)
 				require.True(t, ok, q.Queue)
 				key, ok := s.Authenticate(e.Secret(q.Key))
-				require.Equal(t, !queue.Open, ok, "%s: a key unless the queue is open", q.Payload)
+				require.Equal(t, !queue.Open, ok, "%s: the key must be known unless the queue is open", q.Payload)
 				if !queue.Open {
 					require.Equal(t, queue.Team, key.Team)
 				}
--- a/internal/example/example.go
+++ b/internal/example/example.go
@@ -1,5 +1,5 @@
-// Package example reads a worked example: declarations, the platform that the
-// stand-ins build, and requests to send.
+// Package example reads an example deployment: declarations, the platform that the
+// stand-ins simulate, and requests to send.
 package example
 
 import (
@@ -12,14 +12,14 @@
 	"pollenbend/internal/model"
 )
 
-// Files of an example.
+// Names of the files of an example.
 const (
 	DeclarationsFile = "declarations.toml"
 	PlatformFile     = "platform.toml"
 	RequestsFile     = "requests.toml"
 )
 
-// Example is a deployment that can be tried out on one machine.
+// Example is a deployment that can run on one machine.
 type Example struct {
 	Name         string
 	Declarations model.Declarations
@@ -27,8 +27,8 @@
 	Requests     []Request
 }
 
-// Secret returns the secret of a key of the example. Example secrets are public
-// and follow from the key's name.
+// Secret returns the secret of a key of the example. Example secrets are public and
+// derived from the key's name.
 func (e Example) Secret(key string) string {
 	return fmt.Sprintf("pb_example_%s_%s", e.Name, key)
 }
@@ -36,8 +36,8 @@
 // OperatorSecret returns the secret of the example's operator key.
 func (e Example) OperatorSecret() string { return e.Secret("operator") }
 
-// Parse reads the example in dir and calls it name. It returns an error that
-// joins every fault of its files.
+// Parse reads the example in dir. It uses name as the name of the example and in
+// the paths of errors. The returned error joins all faults of the files.
 func Parse(name string, dir fs.FS) (Example, error) {
 	e := Example{Name: name}
 	var faults []declare.Fault
--- a/internal/example/platform.go
+++ b/internal/example/platform.go
@@ -11,24 +11,24 @@
 	"pollenbend/internal/units"
 )
 
-// Platform describes what the stand-ins build.
+// Platform describes the platform that the stand-ins simulate.
 type Platform struct {
 	Region        string
 	Zones         []string
 	ZoneLatency   time.Duration // one way between availability zones
 	ClientLatency time.Duration // one way between a client and an instance
-	Instances     int           // of the system itself
+	Instances     int           // number of instances of the system
 	Groups        []WorkerGroup
 }
 
-// WorkerGroup is a number of equal workers, spread over racks and the racks
-// over availability zones.
+// WorkerGroup is a group of identical workers. They are spread over racks, and the
+// racks over availability zones.
 type WorkerGroup struct {
 	Name        string
 	Count       int
 	PerRack     int
 	Capacity    model.Resources
-	Connections int // that one worker accepts
+	Connections int // maximum that one worker accepts
 	Labels      map[string]string
 }
 
@@ -53,8 +53,8 @@
 	Labels       map[string]string `toml:"labels"`
 }
 
-// ParsePlatform reads the description of a platform from data and calls it name
-// in faults.
+// ParsePlatform parses the description of a platform. Faults refer to the file as
+// name.
 func ParsePlatform(name string, data []byte) (Platform, []declare.Fault) {
 	r := tomlfile.Decode(name, data, func() platformFile { return platformFile{} })
 	c := r.Check(name)
@@ -111,20 +111,21 @@
 	return p
 }
 
-// Workers lists every worker of the platform, without addresses. A worker's
-// labels include its region, availability zone and rack.
+// Workers returns every worker of the platform, without addresses. A worker's labels
+// include its region, availability zone and rack.
 func (p Platform) Workers() []model.Worker {
 	var workers []model.Worker
-	for _, g := range p.Groups {
-		for i := range g.Count {
-			workers = append(workers, g.worker(i, p.place(g, i)))
+	for _, group := range p.Groups {
+		for i := range group.Count {
+			workers = append(workers, group.worker(i, p.location(group, i)))
 		}
 	}
 	return workers
 }
 
-// place puts the racks of a group into the availability zones in turn.
-func (p Platform) place(g WorkerGroup, i int) model.Location {
+// location returns the location of worker i of a group. The racks of a group are
+// assigned to the availability zones in turn.
+func (p Platform) location(g WorkerGroup, i int) model.Location {
 	rack := i / g.PerRack
 	return model.Location{
 		Region: p.Region,
@@ -133,15 +134,15 @@
 	}
 }
 
-func (g WorkerGroup) worker(i int, at model.Location) model.Worker {
+func (g WorkerGroup) worker(i int, location model.Location) model.Worker {
 	labels := maps.Clone(g.Labels)
 	if labels == nil {
 		labels = map[string]string{}
 	}
-	labels["region"], labels["zone"], labels["rack"] = at.Region, at.Zone, at.Rack
+	labels["region"], labels["zone"], labels["rack"] = location.Region, location.Zone, location.Rack
 	return model.Worker{
 		ID:       model.WorkerID(fmt.Sprintf("%s-%02d", g.Name, i+1)),
-		Location: at,
+		Location: location,
 		Labels:   labels,
 		Capacity: g.Capacity,
 	}
--- a/internal/example/requests.go
+++ b/internal/example/requests.go
@@ -7,8 +7,8 @@
 	"pollenbend/internal/tomlfile"
 )
 
-// Request is one request that an example sends. Key names a declared key; it is
-// empty for an open queue.
+// Request is one request that an example sends. Key is the name of a declared key;
+// it is empty for an open queue.
 type Request struct {
 	Queue   string `toml:"queue"`
 	Service string `toml:"service"`
@@ -20,7 +20,7 @@
 	Requests []Request `toml:"request"`
 }
 
-// ParseRequests reads requests from data and calls it name in faults.
+// ParseRequests parses the requests of an example. Faults refer to the file as name.
 func ParseRequests(name string, data []byte) ([]Request, []declare.Fault) {
 	r := tomlfile.Decode(name, data, func() requestsFile { return requestsFile{} })
 	c := r.Check(name)
