--- a/internal/capacity/appends.go
+++ b/internal/capacity/appends.go
@@ -6,8 +6,8 @@
 	"pollenbend/internal/model"
 )
 
-// Appends is what the whole cell appends to the log, in entries a second at the
-// peak.
+// Appends holds the rates at which the whole cell appends entries to the log, in
+// entries per second at the peak.
 type Appends struct {
 	Changes   float64
 	Claims    float64
@@ -15,105 +15,110 @@
 	Jobs      float64
 	Progress  float64
 
-	changeBytes   float64
-	claimBytes    float64
-	jobBytes      float64
-	progressBytes float64 // a second
+	changeBytes            float64
+	claimBytes             float64
+	jobBytes               float64
+	progressBytesPerSecond float64
 }
 
 const (
 	objectsPerChange = 4
-	// progressPerSecond is how often one instance appends the ends of its jobs'
-	// tasks, all in one entry.
-	progressPerSecond = 1
+	// progressEntriesPerSecond is the rate at which one instance appends the ended
+	// tasks of its jobs, all in one entry.
+	progressEntriesPerSecond = 1
 )
 
-// movesPerSecond returns how many shards change hands, over a day. Those of a
-// replaced instance leave it and come back to the next one.
-func (m Model) movesPerSecond() float64 {
-	return (m.failures() + 2*m.replacements()) * m.shards()
+// shardMovesPerSecond returns the shards that change owners per second, averaged
+// over a day. The shards of a replaced instance move twice: away from it and to its
+// successor.
+func (m Model) shardMovesPerSecond() float64 {
+	return (m.failuresPerSecond() + 2*m.replacementsPerSecond()) * m.shardsPerInstance()
 }
 
-func (m Model) failures() float64     { return m.Size.FailuresPerDay / secondsPerDay }
-func (m Model) replacements() float64 { return m.Size.ReplacementsPerDay / secondsPerDay }
+func (m Model) failuresPerSecond() float64     { return m.Size.FailuresPerDay / secondsPerDay }
+func (m Model) replacementsPerSecond() float64 { return m.Size.ReplacementsPerDay / secondsPerDay }
 
-// shards returns how many shards one instance owns.
-func (m Model) shards() float64 { return model.Shards / m.n() }
+// shardsPerInstance returns how many shards one instance owns on average.
+func (m Model) shardsPerInstance() float64 { return model.Shards / m.instances() }
 
-// handovers returns the transfers for one replaced instance, there and back.
-func (m Model) handovers() float64 { return 2 * math.Ceil(m.shards()/shardsPerHandover) }
+// handoversPerReplacement returns the transfers for one replaced instance, away
+// from it and to its successor.
+func (m Model) handoversPerReplacement() float64 {
+	return 2 * math.Ceil(m.shardsPerInstance()/shardsPerHandover)
+}
 
-// shardsPerHandover is the number of shards that pass in one transfer.
+// shardsPerHandover is the number of shards in one transfer.
 const shardsPerHandover = 4
 
-// claimants returns how many instances claim the shards of a lost one, each with
-// an entry of its own.
+// claimants returns how many instances claim the shards of a failed instance, each
+// with its own entry.
 func (m Model) claimants() float64 {
-	return min(m.n()-1, math.Ceil(model.Shards/m.n()))
+	return min(m.instances()-1, math.Ceil(model.Shards/m.instances()))
 }
 
-// Appends returns the entries of the busiest hour.
+// Appends returns the rates of the busiest hour.
 func (m Model) Appends() Appends {
 	l := m.Slopes.Lines
 	return Appends{
-		Changes:   m.Size.ChangesPerDay / secondsPerDay * peakToMean,
-		Claims:    m.failures() * peakToMean * m.claimants(),
-		Handovers: m.replacements() * peakToMean * m.handovers(),
-		Jobs:      m.Size.JobsPerDay / secondsPerDay * peakToMean,
-		Progress:  min(m.n()*progressPerSecond, m.Size.StartsPerSecond),
-
-		changeBytes:   l.ChangeBytes.At(objectsPerChange),
-		claimBytes:    l.ClaimBytes.At(model.Shards / m.n() / max(m.claimants(), 1)),
-		jobBytes:      l.JobEntryBytes.At(1),
-		progressBytes: m.Size.StartsPerSecond * l.ProgressBytes.Each(),
+		Changes:   m.Size.ChangesPerDay / secondsPerDay * peakToMeanRatio,
+		Claims:    m.failuresPerSecond() * peakToMeanRatio * m.claimants(),
+		Handovers: m.replacementsPerSecond() * peakToMeanRatio * m.handoversPerReplacement(),
+		Jobs:      m.Size.JobsPerDay / secondsPerDay * peakToMeanRatio,
+		Progress:  min(m.instances()*progressEntriesPerSecond, m.Size.StartsPerSecond),
+
+		changeBytes:            l.ChangeBytes.At(objectsPerChange),
+		claimBytes:             l.ClaimBytes.At(model.Shards / m.instances() / max(m.claimants(), 1)),
+		jobBytes:               l.JobEntryBytes.At(1),
+		progressBytesPerSecond: m.Size.StartsPerSecond * l.ProgressBytes.Slope(),
 	}
 }
 
-// Total returns the entries a second.
+// Total returns the entries per second.
 func (a Appends) Total() float64 { return a.Changes + a.Claims + a.Handovers + a.Jobs + a.Progress }
 
-// Bytes returns the bytes of the entries a second.
+// Bytes returns the bytes of the entries per second.
 func (a Appends) Bytes() float64 {
-	return a.Changes*a.changeBytes + (a.Claims+a.Handovers)*a.claimBytes + a.Jobs*a.jobBytes + a.progressBytes
+	return a.Changes*a.changeBytes + (a.Claims+a.Handovers)*a.claimBytes + a.Jobs*a.jobBytes + a.progressBytesPerSecond
 }
 
-// CatchUp is what follows an outage of the log of an hour: what has to be
-// appended then, how long that takes beside the peak's own entries, and how long
-// each instance reads it.
+// CatchUp describes the recovery from an outage of the log of one hour: what the
+// cell appends after it, how long that takes in addition to the entries of the
+// peak, and how long each instance takes to read it.
 type CatchUp struct {
 	ClaimEntries    float64
-	JobBytes        float64 // of the jobs that callers offer again
+	JobBytes        float64 // of the jobs that callers submit again
 	JobEntries      float64
 	ProgressBytes   float64
 	ProgressEntries float64
-	AppendSeconds   float64 // at the limit of appends
+	AppendSeconds   float64 // at the limit of appends per second
 	ReadBytes       float64 // by each instance
-	ReadSeconds     float64 // at the limit of bytes a second for control
+	ReadSeconds     float64 // at the limit of bytes per second for control
 }
 
-// recordsPerEntry is the most records that a node puts into one entry.
-const recordsPerEntry = 1024
+// maxRecordsPerEntry is the maximum number of records that a node puts into one
+// entry.
+const maxRecordsPerEntry = 1024
 
-// progressEntryBytes bounds one entry with progress of jobs.
-const progressEntryBytes = 256 << 10
+// maxProgressEntryBytes is the maximum size of an entry with progress of jobs.
+const maxProgressEntryBytes = 256 << 10
 
-// CatchUp works out the end of an outage of an hour at the peak.
+// CatchUp calculates the recovery from an outage of one hour at the peak.
 func (m Model) CatchUp(limits Limits) CatchUp {
 	l, a := m.Slopes.Lines, m.Appends()
 	c := CatchUp{
-		ClaimEntries:  (m.failures() + m.replacements()) * secondsPerHour * m.claimants(),
-		ProgressBytes: a.progressBytes * secondsPerHour,
+		ClaimEntries:  (m.failuresPerSecond() + m.replacementsPerSecond()) * secondsPerHour * m.claimants(),
+		ProgressBytes: a.progressBytesPerSecond * secondsPerHour,
 	}
-	c.ProgressEntries = max(math.Ceil(c.ProgressBytes/progressEntryBytes), m.n())
+	c.ProgressEntries = max(math.Ceil(c.ProgressBytes/maxProgressEntryBytes), m.instances())
 	jobs := a.Jobs * secondsPerHour
-	c.JobBytes = jobs * l.JobEntryBytes.Each()
-	c.JobEntries = max(math.Ceil(jobs/recordsPerEntry), m.n())
-	spare := max(limits.Append-a.Total(), 1)
+	c.JobBytes = jobs * l.JobEntryBytes.Slope()
+	c.JobEntries = max(math.Ceil(jobs/maxRecordsPerEntry), m.instances())
+	spare := max(limits.AppendsPerSecond-a.Total(), 1)
 	c.AppendSeconds = (c.ClaimEntries + c.JobEntries + c.ProgressEntries) / spare
-	c.ReadBytes = (c.ProgressBytes + c.JobBytes + c.ClaimEntries*a.claimBytes) * l.LogReadBytes.Each()
-	if !m.Design.FoldAll {
-		c.ReadBytes /= m.n()
+	c.ReadBytes = (c.ProgressBytes + c.JobBytes + c.ClaimEntries*a.claimBytes) * l.LogReadBytes.Slope()
+	if !m.Design.ReadsWholeLog {
+		c.ReadBytes /= m.instances()
 	}
-	c.ReadSeconds = c.ReadBytes / limits.Bytes
+	c.ReadSeconds = c.ReadBytes / limits.BytesPerSecond
 	return c
 }
--- a/internal/capacity/bytes_bench_test.go
+++ b/internal/capacity/bytes_bench_test.go
@@ -15,35 +15,35 @@
 
 const encodedBytes = "bytes"
 
-func encoded(b *testing.B, m wire.Message) []byte {
+func encode(b *testing.B, m wire.Message) []byte {
 	data, err := wire.EncodeMessage(m)
 	require.NoError(b, err)
 	return data
 }
 
 func BenchmarkCapacityHeartbeatBytes(b *testing.B) {
-	beat := func(b *testing.B, size cellSize) wire.Heartbeat { return newCell(b, size).heartbeat(1) }
+	heartbeat := func(b *testing.B, size cellSize) wire.Heartbeat { return newCell(b, size).heartbeat(1) }
 	teams, members := []int{6, 60, 170}, []int{9, 90}
-	ofTeams := func(b *testing.B, n int) wire.Heartbeat { return beat(b, cellSize{instances: 9, teams: n}) }
-	ofMembers := func(b *testing.B, n int) wire.Heartbeat { return beat(b, cellSize{instances: n}) }
+	ofTeams := func(b *testing.B, n int) wire.Heartbeat { return heartbeat(b, cellSize{instances: 9, teams: n}) }
+	ofMembers := func(b *testing.B, n int) wire.Heartbeat { return heartbeat(b, cellSize{instances: n}) }
 	measure(b, "heartbeat_bytes_by_team", encodedBytes, "team", teams, func(b *testing.B, n int) float64 {
-		return constant(b, float64(len(encoded(b, ofTeams(b, n)))))
+		return fixedValue(b, float64(len(encode(b, ofTeams(b, n)))))
 	})
 	measure(b, "heartbeat_bytes_by_member", encodedBytes, "member", members, func(b *testing.B, n int) float64 {
-		return constant(b, float64(len(encoded(b, ofMembers(b, n)))))
+		return fixedValue(b, float64(len(encode(b, ofMembers(b, n)))))
 	})
 	measure(b, "heartbeat_encode_ns_by_team", nanoseconds, "team", teams, func(b *testing.B, n int) float64 {
 		h := ofTeams(b, n)
-		return timed(b, func() { encoded(b, h) })
+		return threadTimePerOp(b, func() { encode(b, h) })
 	})
 	measure(b, "heartbeat_encode_ns_by_member", nanoseconds, "member", members, func(b *testing.B, n int) float64 {
 		h := ofMembers(b, n)
-		return timed(b, func() { encoded(b, h) })
+		return threadTimePerOp(b, func() { encode(b, h) })
 	})
 }
 
-// callMessages returns the messages of a call whose gateway, coordinator and
-// worker holder are three instances.
+// callMessages returns the messages between instances of a call whose gateway,
+// coordinator and lease holder are three different instances.
 func callMessages(payload int) []wire.Message {
 	id := model.TaskID("team-0000/request-0000000001/0")
 	task := taskOf(id, teamOf(0))
@@ -69,15 +69,15 @@
 	measure(b, "call_peer_bytes_by_payload_byte", encodedBytes, "payload byte", sizes, func(b *testing.B, n int) float64 {
 		total := 0
 		for _, m := range callMessages(n) {
-			total += len(encoded(b, m))
+			total += len(encode(b, m))
 		}
-		return constant(b, float64(total))
+		return fixedValue(b, float64(total))
 	})
 	measure(b, "call_peer_ns_by_payload_byte", nanoseconds, "payload byte", sizes, func(b *testing.B, n int) float64 {
 		messages := callMessages(n)
-		return timed(b, func() {
+		return threadTimePerOp(b, func() {
 			for _, m := range messages {
-				_, err := wire.DecodeMessage(encoded(b, m))
+				_, err := wire.DecodeMessage(encode(b, m))
 				require.NoError(b, err)
 			}
 		})
@@ -92,7 +92,7 @@
 
 func BenchmarkCapacityRecordBytes(b *testing.B) {
 	entry := func(b *testing.B, records ...wire.Record) float64 {
-		return constant(b, float64(entryBytes(b, records...)))
+		return fixedValue(b, float64(entryBytes(b, records...)))
 	}
 	measure(b, "claim_bytes_by_shard", encodedBytes, "shard", []int{1, 28, 256}, func(b *testing.B, n int) float64 {
 		c := wire.Claim{Owner: ownerOf(0)}
@@ -102,52 +102,52 @@
 		return entry(b, c)
 	})
 	measure(b, "change_bytes_by_object", encodedBytes, "object", []int{4, 40, 400}, func(b *testing.B, n int) float64 {
-		return entry(b, wire.ConfigChange{Change: changeOf(12345678, 1, n/4)})
+		return entry(b, wire.ConfigChange{Change: newChange(12345678, 1, n/4)})
 	})
 	measure(b, "job_entry_bytes_by_record", encodedBytes, "record", []int{1, 64, 1024}, func(b *testing.B, n int) float64 {
 		var records []wire.Record
 		for i := range n {
-			records = append(records, jobOf(i, 100))
+			records = append(records, newJob(i, 100))
 		}
 		return entry(b, records...)
 	})
 	measure(b, "grant_bytes_by_team_name_byte", encodedBytes, "byte of the name", []int{8, 32}, func(b *testing.B, n int) float64 {
 		g := wire.Grant{Team: model.TeamID(strings.Repeat("t", n)), Term: 12345678, Seq: 123456, Ceiling: 1300}
-		return constant(b, float64(len(encoded(b, g))))
+		return fixedValue(b, float64(len(encode(b, g))))
 	})
 	measure(b, "snapshot_bytes_by_team", encodedBytes, "team", []int{17, 170}, func(b *testing.B, n int) float64 {
-		return constant(b, snapshotBytes(n))
+		return fixedValue(b, snapshotBytes(n))
 	})
 	measure(b, "listing_bytes_by_worker", encodedBytes, "worker", []int{48, 1200, 12000}, func(b *testing.B, n int) float64 {
 		c := &cell{size: cellSize{instances: 9, workers: n, slots: 64}}
 		data, err := json.Marshal(c.listing())
 		require.NoError(b, err)
-		return constant(b, float64(len(data)))
+		return fixedValue(b, float64(len(data)))
 	})
 }
 
-// BenchmarkCapacityExchange measures HTTP exchanges of the real client over
-// loopback: the bytes that pass in both directions and the processor time of both
-// ends, of which the answering end does next to nothing.
+// BenchmarkCapacityExchange measures HTTP exchanges of the production client over
+// loopback: the bytes in both directions and the processor time of both ends. The
+// answering end uses very little of it.
 func BenchmarkCapacityExchange(b *testing.B) {
 	lease := platform.LeaseRef{Holder: ownerOf(0).Instance, Incarnation: ownerOf(0).Incarnation, Term: 12345678}
 	renew := platform.RenewRequest{Lease: lease, Duration: timing.WorkerLease, Since: 123456, Wait: timing.WorkerLease / 4}
 	measure(b, "renewal_bytes_by_outcome", encodedBytes, "outcome", []int{0, 4, 16}, func(b *testing.B, n int) float64 {
-		return newResponder(b, granted(n)).bytes(b, func(e *responder) error { return e.renew(renew) })
+		return newResponder(b, granted(n)).bytesPerCall(b, func(e *responder) error { return e.renew(renew) })
 	})
 	measure(b, "start_bytes_by_payload_byte", encodedBytes, "payload byte", []int{0, 256, 1024}, func(b *testing.B, n int) float64 {
 		task := taskOf("team-0000/request-0000000001/0", teamOf(0))
 		task.Payload = make([]byte, n)
 		start := platform.StartRequest{Lease: lease, Seq: 123456, WorkerIncarnation: 1764800000000000000, Task: task}
-		return newResponder(b, ack).bytes(b, func(e *responder) error { return e.start(start) })
+		return newResponder(b, ack).bytesPerCall(b, func(e *responder) error { return e.start(start) })
 	})
 	measure(b, "log_read_bytes_by_entry_byte", encodedBytes, "entry byte", []int{0, 300, 3000}, func(b *testing.B, n int) float64 {
-		return newResponder(b, batchOf(n)).bytes(b, func(e *responder) error { return e.readLog() })
+		return newResponder(b, batchOf(n)).bytesPerCall(b, func(e *responder) error { return e.readLog() })
 	})
 	measure(b, "exchange_ns_by_outcome", nanoseconds, "outcome", []int{0, 4, 16}, func(b *testing.B, n int) float64 {
-		return newResponder(b, granted(n)).processor(b, func(e *responder) error { return e.renew(renew) })
+		return newResponder(b, granted(n)).processorTimePerCall(b, func(e *responder) error { return e.renew(renew) })
 	})
 	measure(b, "worker_connection_memory", memoryBytes, "connection", []int{20, 200}, func(b *testing.B, n int) float64 {
-		return constant(b, connectionMemory(b, n, renew))
+		return fixedValue(b, connectionMemory(b, n, renew))
 	})
 }
--- a/internal/capacity/cell_test.go
+++ b/internal/capacity/cell_test.go
@@ -17,7 +17,7 @@
 	"pollenbend/internal/wire"
 )
 
-// payloadBytes is the length of the payloads and answers in all measurements.
+// payloadBytes is the size of the payloads and answers in all measurements.
 const payloadBytes = 256
 
 var timing = event.Timing{
@@ -26,18 +26,18 @@
 	RequestTimeout: 30 * time.Second,
 }
 
-// cellSize sizes a measured cell. The core under measurement is instance 0.
-// With spare set it owns no shard.
+// cellSize is the size of a measured cell. The measured core is instance 0. If
+// withoutShards is set, it owns no shard.
 type cellSize struct {
 	instances, workers, teams, slots int
-	spare                            bool
+	withoutShards                    bool
 }
 
-// dealt returns the instance that owns each shard: the one that the ownership
-// service itself would choose, so that no shard is handed over.
-func (z cellSize) dealt() (owners [model.Shards]int) {
+// shardOwners returns the index of the instance that owns each shard. It is the
+// instance that the ownership service chooses, so that no shard is handed over.
+func (z cellSize) shardOwners() (owners [model.Shards]int) {
 	first := 0
-	if z.spare {
+	if z.withoutShards {
 		first = 1
 	}
 	index := make(map[model.InstanceID]int)
@@ -53,17 +53,17 @@
 	return owners
 }
 
-// cell drives one real core; everything around it is answered here.
+// cell runs one core and simulates its environment.
 type cell struct {
-	tb      testing.TB
-	size    cellSize
-	core    *core.Core
-	now     time.Duration
-	offset  uint64
-	beat    uint64
-	event   map[model.WorkerID]uint64
-	handle  uint64
-	answers int
+	tb           testing.TB
+	size         cellSize
+	core         *core.Core
+	now          time.Duration
+	offset       uint64
+	heartbeatSeq uint64
+	eventSeq     map[model.WorkerID]uint64
+	handle       uint64
+	answers      int
 }
 
 func ownerOf(i int) wire.Owner {
@@ -119,35 +119,35 @@
 	return d
 }
 
-// newCell returns a cell that has settled: shards are dealt out in turn, all
-// members are heard and every worker held here is leased.
+// newCell returns a cell in steady state: all shards have owners, the core has
+// received heartbeats of all members, and it holds the leases of its workers.
 func newCell(tb testing.TB, size cellSize) *cell {
 	size.slots = max(size.slots, 64)
 	c := &cell{
 		tb: tb, size: size, now: time.Hour,
-		event: make(map[model.WorkerID]uint64),
+		eventSeq: make(map[model.WorkerID]uint64),
 	}
 	var err error
 	c.core, err = core.New(core.Options{Self: instanceOf(0), Timing: timing, Seed: 1})
 	require.NoError(tb, err)
 	c.step(event.Tick{})
 	c.now += 5 * time.Second
-	c.listed()
-	c.beats()
+	c.deliverListing()
+	c.deliverHeartbeats()
 	var records []wire.Record
 	if size.teams > 0 {
 		records = append(records, wire.ConfigChange{Change: model.Change{ID: "all", Put: declarationsOf(size.teams)}})
 	}
-	c.entry(append(records, size.claims()...)...)
-	c.listed() // twice after a pause, before anything starts
-	c.settle()
-	c.settle()
+	c.appendEntry(append(records, size.claims()...)...)
+	c.deliverListing() // after a pause, the core starts tasks only after two listings
+	c.advance()
+	c.advance()
 	return c
 }
 
 func (z cellSize) claims() []wire.Record {
 	shards := make([][]wire.ShardTerm, z.instances)
-	for s, i := range z.dealt() {
+	for s, i := range z.shardOwners() {
 		shards[i] = append(shards[i], wire.ShardTerm{Shard: model.Shard(s)})
 	}
 	var records []wire.Record
@@ -170,12 +170,12 @@
 	return l
 }
 
-func (c *cell) listed() { c.step(event.Listed{Listing: c.listing()}) }
+func (c *cell) deliverListing() { c.step(event.Listed{Listing: c.listing()}) }
 
 func (c *cell) step(e event.Event) []event.Action { return c.core.Step(c.now, e) }
 
-// entry appends records and lets the core read them.
-func (c *cell) entry(records ...wire.Record) []event.Action {
+// appendEntry appends records as one entry and lets the core read it.
+func (c *cell) appendEntry(records ...wire.Record) []event.Action {
 	return c.step(c.nextEntry(records...))
 }
 
@@ -189,7 +189,7 @@
 // heartbeat returns the heartbeat of instance i with one line for each team.
 func (c *cell) heartbeat(i int) wire.Heartbeat {
 	h := wire.Heartbeat{
-		Seq: c.beat, Applied: c.offset, Coverage: 1, LogAge: 250 * time.Millisecond,
+		Seq: c.heartbeatSeq, Applied: c.offset, Coverage: 1, LogAge: 250 * time.Millisecond,
 		Free: model.Resources{MilliCPU: 3200000, MemoryMiB: 6553600, Slots: 12800},
 	}
 	for j := range c.size.instances {
@@ -206,9 +206,10 @@
 	return h
 }
 
-// beats brings a heartbeat of every peer and the coverage that the core asks for.
-func (c *cell) beats() {
-	c.beat++
+// deliverHeartbeats delivers a heartbeat of every peer, and the coverage that the
+// core requests in return.
+func (c *cell) deliverHeartbeats() {
+	c.heartbeatSeq++
 	for i := 1; i < c.size.instances; i++ {
 		from := ownerOf(i)
 		for _, a := range c.step(event.PeerMessage{From: from, Message: c.heartbeat(i)}) {
@@ -219,9 +220,9 @@
 	}
 }
 
-// coverage lists the workers that fall to instance i.
+// coverage lists the workers whose shards instance i owns.
 func (c *cell) coverage(i int) wire.Coverage {
-	cov, owners := wire.Coverage{Version: 1}, c.size.dealt()
+	cov, owners := wire.Coverage{Version: 1}, c.size.shardOwners()
 	for w := range c.size.workers {
 		id := workerOf(w, 1).ID
 		if owners[model.ShardOfWorker(id)] == i {
@@ -231,23 +232,23 @@
 	return cov
 }
 
-// settle brings heartbeats, renews every lease that is due and lets the core tick
-// a little later.
-func (c *cell) settle() {
+// advance moves the time forward by 100 ms, delivers heartbeats and a tick, and
+// renews the leases that are due.
+func (c *cell) advance() {
 	c.now += 100 * time.Millisecond
-	c.beats()
+	c.deliverHeartbeats()
 	c.step(event.LogRead{Oldest: 1, Next: c.offset + 1, AskedAt: c.now})
 	for _, a := range c.step(event.Tick{}) {
-		c.answer(a)
+		c.handleAction(a)
 	}
 }
 
-// answer does what the world does with an action of a call: it grants leases,
-// starts tasks and counts answers.
-func (c *cell) answer(a event.Action) {
+// handleAction executes an action: it grants leases, starts tasks and counts
+// answers.
+func (c *cell) handleAction(a event.Action) {
 	switch a := a.(type) {
 	case event.Renew:
-		c.step(c.renewed(a.Worker, a.Request, nil))
+		c.step(c.renewDone(a.Worker, a.Request, nil))
 	case event.Start:
 		c.step(event.StartDone{
 			Worker: a.Worker.ID, Lease: a.Request.Lease, Seq: a.Request.Seq, Task: a.Request.Task.ID, Verdict: verdict.Done,
@@ -257,10 +258,10 @@
 	}
 }
 
-func (c *cell) renewed(w model.Worker, r platform.RenewRequest, outcomes []model.Outcome) event.RenewDone {
-	c.event[w.ID] += uint64(len(outcomes))
+func (c *cell) renewDone(w model.Worker, r platform.RenewRequest, outcomes []model.Outcome) event.RenewDone {
+	c.eventSeq[w.ID] += uint64(len(outcomes))
 	reply := platform.RenewReply{
-		Granted: true, Current: r.Lease, Incarnation: 1, Uptime: time.Hour, Seq: c.event[w.ID], Finished: outcomes,
+		Granted: true, Current: r.Lease, Incarnation: 1, Uptime: time.Hour, Seq: c.eventSeq[w.ID], Finished: outcomes,
 	}
 	if r.Full {
 		reply.Retention = timing.Retention
@@ -268,12 +269,13 @@
 	return event.RenewDone{Worker: w.ID, Lease: r.Lease, Full: r.Full, SentAt: c.now, Reply: reply}
 }
 
-// call lets the core take one request, start its task and answer it.
-func (c *cell) call() {
+// completeCall submits one request, starts its task and reports its outcome, so
+// that the core answers the request.
+func (c *cell) completeCall() {
 	c.handle++
-	start := c.submit()
-	c.answer(start)
-	done := c.renewed(start.Worker, platform.RenewRequest{Lease: start.Request.Lease}, []model.Outcome{outcomeOf(start.Request.Task.ID)})
+	start := c.startRequest()
+	c.handleAction(start)
+	done := c.renewDone(start.Worker, platform.RenewRequest{Lease: start.Request.Lease}, []model.Outcome{outcomeOf(start.Request.Task.ID)})
 	for _, a := range c.step(done) {
 		if r, ok := a.(event.Respond); ok {
 			require.Equal(c.tb, verdict.Done, r.Answer.Verdict, r.Answer.Message)
@@ -282,8 +284,8 @@
 	}
 }
 
-func (c *cell) submit() event.Start {
-	for _, a := range c.step(c.request()) {
+func (c *cell) startRequest() event.Start {
+	for _, a := range c.step(c.newRequest()) {
 		if s, ok := a.(event.Start); ok {
 			return s
 		}
@@ -292,7 +294,7 @@
 	return event.Start{}
 }
 
-func (c *cell) request() event.RequestIn {
+func (c *cell) newRequest() event.RequestIn {
 	return event.RequestIn{Handle: c.handle, Request: model.Request{
 		Op: model.OpCall, Queue: string(teamOf(0)), ID: fmt.Sprintf("request-%010d", c.handle), Service: "service-0",
 		Task: model.Task{Payload: make([]byte, payloadBytes)}, Timeout: 25 * time.Second,
--- a/internal/capacity/core_bench_test.go
+++ b/internal/capacity/core_bench_test.go
@@ -26,7 +26,7 @@
 		c := newCell(b, size)
 		data, err := wire.EncodeMessage(c.heartbeat(1))
 		require.NoError(b, err)
-		return timed(b, func() {
+		return threadTimePerOp(b, func() {
 			m, err := wire.DecodeMessage(data)
 			require.NoError(b, err)
 			c.step(event.PeerMessage{From: ownerOf(1), Message: m})
@@ -40,23 +40,23 @@
 	})
 }
 
-// BenchmarkCapacityHeartbeatFill measures the tick in which heartbeats and shares
-// are due and no plan is, by the lines of teams that the shares look at: all lines
-// of all members for each team.
+// BenchmarkCapacityHeartbeatFill measures a tick in which heartbeats and shares are
+// due and no plan is. The size is the number of team lines that the shares read:
+// all lines of all members for each team.
 func BenchmarkCapacityHeartbeatFill(b *testing.B) {
 	const afterPlan = 50 * time.Millisecond
 	shapes := map[int]cellSize{
-		60 * 60 * 9:    {instances: 9, teams: 60, spare: true},
-		170 * 170 * 9:  {instances: 9, teams: 170, spare: true},
-		170 * 170 * 90: {instances: 90, teams: 170, spare: true},
+		60 * 60 * 9:    {instances: 9, teams: 60, withoutShards: true},
+		170 * 170 * 9:  {instances: 9, teams: 170, withoutShards: true},
+		170 * 170 * 90: {instances: 90, teams: 170, withoutShards: true},
 	}
 	sizes := slices.Sorted(maps.Keys(shapes))
 	measure(b, "heartbeat_fill_ns_by_team_line", nanoseconds, "team and line", sizes, func(b *testing.B, n int) float64 {
 		c := newCell(b, shapes[n])
 		c.now += timing.Heartbeat
 		c.step(event.Tick{})
-		return timedAfter(b, func() {
-			c.beats()
+		return medianAfterSetup(b, func() {
+			c.deliverHeartbeats()
 			c.now += timing.Heartbeat - afterPlan
 			c.step(event.Tick{})
 			c.now += afterPlan
@@ -66,7 +66,7 @@
 
 func BenchmarkCapacityTick(b *testing.B) {
 	tick := func(b *testing.B, c *cell) float64 {
-		return timed(b, func() { c.step(event.Tick{}) })
+		return threadTimePerOp(b, func() { c.step(event.Tick{}) })
 	}
 	measure(b, "tick_ns_by_instance", nanoseconds, "instance", []int{9, 30, 90}, func(b *testing.B, n int) float64 {
 		return tick(b, newCell(b, cellSize{instances: n}))
@@ -76,7 +76,7 @@
 	})
 	measure(b, "tick_ns_by_finished_task", nanoseconds, "task", []int{500, 4000}, func(b *testing.B, n int) float64 {
 		c := newCell(b, cellSize{instances: 1, workers: 10, teams: 1})
-		c.calls(n)
+		c.completeCalls(n)
 		return tick(b, c)
 	})
 	measure(b, "tick_ns_by_waiting_request", nanoseconds, "request", []int{500, 4000}, func(b *testing.B, n int) float64 {
@@ -84,36 +84,37 @@
 	})
 }
 
-// BenchmarkCapacityOpenRequests measures ticks of a gateway whose requests wait at
-// other instances.
+// BenchmarkCapacityOpenRequests measures ticks of a gateway whose open requests are
+// handled by another instance.
 func BenchmarkCapacityOpenRequests(b *testing.B) {
 	measure(b, "tick_ns_by_open_request", nanoseconds, "request", []int{500, 4000}, func(b *testing.B, n int) float64 {
-		c := newCell(b, cellSize{instances: 2, workers: 1, teams: 1, spare: true})
+		c := newCell(b, cellSize{instances: 2, workers: 1, teams: 1, withoutShards: true})
 		for range n {
 			c.handle++
-			require.IsType(b, event.Send{}, c.step(c.request())[0])
+			require.IsType(b, event.Send{}, c.step(c.newRequest())[0])
 		}
-		return timed(b, func() { c.step(event.Tick{}) })
+		return threadTimePerOp(b, func() { c.step(event.Tick{}) })
 	})
 }
 
-// calls makes n calls, with the leases renewed in between.
-func (c *cell) calls(n int) {
+// completeCalls completes n calls one after the other.
+func (c *cell) completeCalls(n int) {
 	for range n {
-		c.call()
+		c.completeCall()
 	}
 }
 
-// waitingCell returns a cell whose only slot is taken, with n requests waiting.
+// waitingCell returns a cell whose task slots are all in use, with n requests
+// waiting.
 func waitingCell(tb testing.TB, n int) *cell {
 	c := newCell(tb, cellSize{instances: 1, workers: 1, teams: 1})
 	for range 64 {
 		c.handle++
-		c.answer(c.submit())
+		c.handleAction(c.startRequest())
 	}
 	for range n {
 		c.handle++
-		require.Empty(tb, c.step(c.request()))
+		require.Empty(tb, c.step(c.newRequest()))
 	}
 	return c
 }
@@ -124,13 +125,13 @@
 		w := workerOf(0, c.size.slots)
 		lease := platform.LeaseRef{Holder: ownerOf(0).Instance, Incarnation: ownerOf(0).Incarnation, Term: c.offset}
 		serial := 0
-		return timed(b, func() {
+		return threadTimePerOp(b, func() {
 			var outcomes []model.Outcome
 			for range n {
 				serial++
 				outcomes = append(outcomes, outcomeOf(model.TaskID(fmt.Sprintf("team-0000/request-%d/0", serial%4096))))
 			}
-			c.step(c.renewed(w, platform.RenewRequest{Lease: lease}, outcomes))
+			c.step(c.renewDone(w, platform.RenewRequest{Lease: lease}, outcomes))
 		})
 	})
 }
@@ -138,9 +139,9 @@
 func BenchmarkCapacityCall(b *testing.B) {
 	call := func(b *testing.B, workers, remembered int) float64 {
 		c := newCell(b, cellSize{instances: 1, workers: workers, teams: 6})
-		c.calls(remembered)
-		const batch = 100 // so that what is remembered hardly grows meanwhile
-		return constant(b, medianOf(batch, func() {}, c.call))
+		c.completeCalls(remembered)
+		const batch = 100 // small, so that the number of remembered requests hardly grows
+		return fixedValue(b, medianTime(batch, func() {}, c.completeCall))
 	}
 	measure(b, "call_ns_by_remembered_request", nanoseconds, "request", []int{1000, 4000}, func(b *testing.B, n int) float64 {
 		return call(b, 10, n)
@@ -150,13 +151,13 @@
 	})
 }
 
-// BenchmarkCapacityPlan measures one plan of one team's ceilings, and what every
-// instance does for it even when it plans for no team.
+// BenchmarkCapacityPlan measures one plan of the ceilings of one team, and the part
+// of a plan that an instance executes even if it plans for no team.
 func BenchmarkCapacityPlan(b *testing.B) {
 	plan := func(b *testing.B, size cellSize) float64 {
-		spare := size
-		spare.spare = true
-		return constant(b, (planTick(b, size)-planTick(b, spare))/float64(planned(size)))
+		withoutShards := size
+		withoutShards.withoutShards = true
+		return fixedValue(b, (planTick(b, size)-planTick(b, withoutShards))/float64(plannedTeams(size)))
 	}
 	measure(b, "plan_ns_by_listed_worker", nanoseconds, "worker", []int{1200, 12000}, func(b *testing.B, n int) float64 {
 		return plan(b, cellSize{instances: 9, workers: n, teams: 170})
@@ -165,7 +166,7 @@
 		return plan(b, cellSize{instances: n, workers: 90, teams: 170})
 	})
 	measure(b, "plan_scan_ns_by_team", nanoseconds, "team", []int{6, 170}, func(b *testing.B, n int) float64 {
-		return constant(b, planTick(b, cellSize{instances: 2, teams: n, spare: true}))
+		return fixedValue(b, planTick(b, cellSize{instances: 2, teams: n, withoutShards: true}))
 	})
 }
 
@@ -173,15 +174,15 @@
 func planTick(b *testing.B, size cellSize) float64 {
 	const rounds = 31
 	c := newCell(b, size)
-	return medianOf(rounds, func() {
-		c.settle()
+	return medianTime(rounds, func() {
+		c.advance()
 		c.now += 100 * time.Millisecond
 	}, func() { c.step(event.Tick{}) })
 }
 
-// planned returns how many teams instance 0 plans for.
-func planned(size cellSize) int {
-	n, owners := 0, size.dealt()
+// plannedTeams returns how many teams instance 0 plans for, at least 1.
+func plannedTeams(size cellSize) int {
+	n, owners := 0, size.shardOwners()
 	for t := range size.teams {
 		if owners[model.ShardOfTeam(teamOf(t))] == 0 {
 			n++
@@ -190,16 +191,16 @@
 	return max(n, 1)
 }
 
-// BenchmarkCapacityMove measures the fold of one shard's move between two other
-// instances, by the tasks that run here.
+// BenchmarkCapacityMove measures how long it takes to apply the move of a shard
+// between two other instances, by the number of tasks that run here.
 func BenchmarkCapacityMove(b *testing.B) {
 	measure(b, "move_ns_by_running_task", nanoseconds, "task", []int{200, 2000}, func(b *testing.B, n int) float64 {
 		c := newCell(b, cellSize{instances: 3, workers: 300})
-		require.Len(b, c.started(n), n)
+		require.Len(b, c.startTasks(n), n)
 		term := c.offset
-		owners := c.size.dealt()
+		owners := c.size.shardOwners()
 		moved := model.Shard(slices.Index(owners[:], 1))
-		return timed(b, func() {
+		return threadTimePerOp(b, func() {
 			e := c.nextEntry(wire.Claim{Owner: ownerOf(1 + int(c.offset)%2), Shards: []wire.ShardTerm{{Shard: moved, Term: term}}})
 			term = c.offset
 			c.step(e)
@@ -207,15 +208,16 @@
 	})
 }
 
-// started starts n tasks here and returns their ids.
-func (c *cell) started(n int) []model.TaskID {
+// startTasks starts n tasks that another instance dispatches, and returns their
+// ids.
+func (c *cell) startTasks(n int) []model.TaskID {
 	var ids []model.TaskID
 	for i := range n {
 		id := model.TaskID(fmt.Sprintf("team-0000/request-%d/0", i))
 		d := wire.Dispatch{Task: taskOf(id, teamOf(0)), Term: c.offset, Attempt: 1}
 		for _, a := range c.step(event.PeerMessage{From: ownerOf(1), Message: d}) {
 			if s, ok := a.(event.Start); ok {
-				c.answer(s)
+				c.handleAction(s)
 				ids = append(ids, id)
 			}
 		}
@@ -223,40 +225,41 @@
 	return ids
 }
 
-// BenchmarkCapacityTakeover measures the full report of one worker without tasks,
-// by the tasks that run on the other workers held here.
+// BenchmarkCapacityTakeover measures the handling of the full report of a worker
+// without tasks, by the number of tasks on the other workers whose leases are held
+// here.
 func BenchmarkCapacityTakeover(b *testing.B) {
 	measure(b, "takeover_ns_by_running_task", nanoseconds, "task", []int{200, 2000}, func(b *testing.B, n int) float64 {
 		c := newCell(b, cellSize{instances: 1, workers: 100, teams: 1})
 		for range n {
 			c.handle++
-			c.answer(c.submit())
+			c.handleAction(c.startRequest())
 		}
 		idle := workerOf(100, c.size.slots)
 		c.size.workers++
-		c.listed()
+		c.deliverListing()
 		request := c.firstRenewal(idle.ID)
-		return timed(b, func() { c.step(c.renewed(idle, request, nil)) })
+		return threadTimePerOp(b, func() { c.step(c.renewDone(idle, request, nil)) })
 	})
 }
 
-// firstRenewal returns the renewal that takes a worker.
+// firstRenewal returns the renewal with which the core acquires a worker's lease.
 func (c *cell) firstRenewal(id model.WorkerID) platform.RenewRequest {
 	for _, a := range c.step(event.Tick{}) {
 		if r, ok := a.(event.Renew); ok && r.Worker.ID == id {
 			return r.Request
 		}
 	}
-	require.Fail(c.tb, "the worker was not taken")
+	require.Fail(c.tb, "the core did not request the worker's lease")
 	return platform.RenewRequest{}
 }
 
-// BenchmarkCapacityHandover measures the memory of finished requests that passes
-// with a shard.
+// BenchmarkCapacityHandover measures the size of the finished requests that are
+// handed over with their shards.
 func BenchmarkCapacityHandover(b *testing.B) {
 	measure(b, "handover_bytes_by_request", encodedBytes, "request", []int{100, 1000}, func(b *testing.B, n int) float64 {
 		c := newCell(b, cellSize{instances: 1, workers: 10, teams: 1})
-		c.calls(n)
+		c.completeCalls(n)
 		var shards []wire.ShardTerm
 		for s := range model.Shards {
 			shards = append(shards, wire.ShardTerm{Shard: model.Shard(s), Term: c.offset})
@@ -264,7 +267,7 @@
 		memory, err := kernel.Find[handover.Memory](c.core.Kernel(), service.Requests)
 		require.NoError(b, err)
 		of, entries := memory.Export(shards)
-		return constant(b, float64(len(encoded(b, wire.Memory{ID: 1, Shards: of, Entries: entries}))))
+		return fixedValue(b, float64(len(encode(b, wire.Memory{ID: 1, Shards: of, Entries: entries}))))
 	})
 }
 
@@ -273,7 +276,7 @@
 		c := newCell(b, cellSize{instances: 9, workers: n})
 		data, err := json.Marshal(c.listing())
 		require.NoError(b, err)
-		return timed(b, func() {
+		return threadTimePerOp(b, func() {
 			var l platform.Listing
 			require.NoError(b, json.Unmarshal(data, &l))
 			c.step(event.Listed{Listing: l})
@@ -285,15 +288,16 @@
 	measure(b, "change_take_ns_by_team", nanoseconds, "team", []int{6, 60, 170}, func(b *testing.B, n int) float64 {
 		c := newCell(b, cellSize{instances: 2, teams: n})
 		base := uint64(1)
-		return timed(b, func() {
-			e := c.nextEntry(wire.ConfigChange{Change: changeOf(base, c.offset+1, 1)})
+		return threadTimePerOp(b, func() {
+			e := c.nextEntry(wire.ConfigChange{Change: newChange(base, c.offset+1, 1)})
 			base = c.offset
 			c.step(e)
 		})
 	})
 }
 
-// changeOf puts the first n teams with all that belongs to them.
-func changeOf(base, serial uint64, n int) model.Change {
+// newChange returns a change that puts the first n teams with their keys, queues
+// and services.
+func newChange(base, serial uint64, n int) model.Change {
 	return model.Change{ID: fmt.Sprintf("%032d", serial), Base: base, Put: declarationsOf(n), Author: "operator"}
 }
--- a/internal/capacity/design.go
+++ b/internal/capacity/design.go
@@ -2,70 +2,72 @@
 
 import "time"
 
-// Design holds what the protocols between instances do, as far as their cost
-// depends on it.
+// Design holds the properties of the protocols between instances on which their
+// cost depends.
 type Design struct {
 	Name    string
 	Periods Periods
 
-	// Peers returns to how many instances each of n sends heartbeats.
+	// Peers returns to how many instances each of n instances sends heartbeats.
 	Peers func(n int) float64
-	// TeamLines is the part of the teams that one heartbeat carries.
-	TeamLines float64
-	// PingsBesideHeartbeats tells that connections are pinged though heartbeats
-	// pass on them.
+	// TeamLineRatio is the ratio of the teams that one heartbeat has a line for.
+	TeamLineRatio float64
+	// PingsBesideHeartbeats is set if connections are pinged although they carry
+	// heartbeats.
 	PingsBesideHeartbeats bool
-	// WholeListing tells that the instance list is always read in full.
-	WholeListing bool
-	// ListedWorkers returns how many workers one instance keeps in mind, of w.
+	// ReadsWholeListing is set if the instance list is always read in full.
+	ReadsWholeListing bool
+	// ListedWorkers returns how many of w workers each of n instances keeps in
+	// memory.
 	ListedWorkers func(w, n float64) float64
-	// Scans tells that ticks and dispatches look at every remembered request.
+	// Scans is set if ticks and dispatches scan every retained request.
 	Scans bool
 	// PlansPerSecond and GrantsPerSecond are for one team; a plan sends at most
 	// one grant to each instance that runs the team's tasks.
 	PlansPerSecond  float64
 	GrantsPerSecond float64
-	// PlanCounts tells that plans use kept counts in place of scans of the
-	// listed workers.
-	PlanCounts bool
-	// FoldAll tells that every instance reads every entry of the log.
-	FoldAll bool
+	// PlansUseCounts is set if plans use incrementally updated counts in place of
+	// scans of the listed workers.
+	PlansUseCounts bool
+	// ReadsWholeLog is set if every instance reads every entry of the log.
+	ReadsWholeLog bool
 }
 
-// AsBuilt returns the design that runs now.
-func AsBuilt() Design {
+// CurrentDesign returns the design that is implemented.
+func CurrentDesign() Design {
 	return Design{
 		Name: "as built", Periods: DefaultPeriods(),
-		Peers: func(n int) float64 { return float64(n - 1) }, TeamLines: 1, PingsBesideHeartbeats: true,
-		WholeListing: true, ListedWorkers: func(w, _ float64) float64 { return w },
-		Scans: true, PlansPerSecond: plansPerSecond, GrantsPerSecond: plansPerSecond, FoldAll: true,
+		Peers: func(n int) float64 { return float64(n - 1) }, TeamLineRatio: 1, PingsBesideHeartbeats: true,
+		ReadsWholeListing: true, ListedWorkers: func(w, _ float64) float64 { return w },
+		Scans: true, PlansPerSecond: plansPerSecond, GrantsPerSecond: plansPerSecond, ReadsWholeLog: true,
 	}
 }
 
-// Changed returns the design with the changes that docs/CAPACITY.md names.
-func Changed() Design {
-	d := AsBuilt()
+// ProposedDesign returns the design with the changes that docs/CAPACITY.md
+// proposes.
+func ProposedDesign() Design {
+	d := CurrentDesign()
 	d.Name = "changed"
 	d.Periods.Heartbeat = 2 * time.Second
 	d.Periods.DeadAfter = 6 * time.Second
 	d.Periods.WorkerLease = 40 * time.Second
 	d.Periods.RenewWait = 20 * time.Second
-	d.Peers = func(n int) float64 { return min(float64(n-1), changedPeers) }
-	d.TeamLines = changedTeamLines
+	d.Peers = func(n int) float64 { return min(float64(n-1), proposedPeers) }
+	d.TeamLineRatio = proposedTeamLineRatio
 	d.PingsBesideHeartbeats = false
-	d.WholeListing = false
-	d.ListedWorkers = func(w, n float64) float64 { return min(w, changedWorkersHeld*w/n) }
+	d.ReadsWholeListing = false
+	d.ListedWorkers = func(w, n float64) float64 { return min(w, proposedListedWorkerMultiplier*w/n) }
 	d.Scans = false
 	d.PlansPerSecond = 1
 	d.GrantsPerSecond = 0.05
-	d.PlanCounts = true
-	d.FoldAll = false
+	d.PlansUseCounts = true
+	d.ReadsWholeLog = false
 	return d
 }
 
-// Assumptions of the changed design.
+// Assumptions of the proposed design.
 const (
-	changedPeers       = 3   // probed in each period, in turn, as in SWIM
-	changedTeamLines   = 0.1 // only lines that changed since the last heartbeat
-	changedWorkersHeld = 2   // an instance keeps its own workers and as many of its neighbours'
+	proposedPeers                  = 3   // peers probed in turn in each period, as in SWIM
+	proposedTeamLineRatio          = 0.1 // only lines that changed since the last heartbeat
+	proposedListedWorkerMultiplier = 2   // an instance keeps its own workers and as many of its neighbours
 )
--- a/internal/capacity/exchange_test.go
+++ b/internal/capacity/exchange_test.go
@@ -22,21 +22,21 @@
 	platformwire "pollenbend/internal/platform/wire"
 )
 
-// responder is the real client of the platform's services against a responder
-// that always gives the same answer.
+// responder is a server that always returns the same answer, together with the
+// production clients of the platform's services that connect to it.
 type responder struct {
-	workers *httpclient.Workers
-	log     *httpclient.Log
-	url     string
-	read    atomic.Int64 // bytes of requests
-	written atomic.Int64 // bytes of answers
-	held    chan struct{}
-	waiting sync.WaitGroup // answers that are held
+	workers      *httpclient.Workers
+	log          *httpclient.Log
+	url          string
+	bytesRead    atomic.Int64 // of requests
+	bytesWritten atomic.Int64 // of answers
+	release      chan struct{}
+	heldAnswers  sync.WaitGroup // counts down as requests arrive whose answers are held
 }
 
 var ack = platformwire.Ack{OK: true}
 
-// granted is a renewal's answer with n outcomes.
+// granted returns the reply to a renewal with n outcomes.
 func granted(n int) platform.RenewReply {
 	r := platform.RenewReply{
 		Granted: true, Incarnation: 1764800000000000000, Uptime: time.Hour, Seq: 123456,
@@ -48,7 +48,7 @@
 	return r
 }
 
-// batchOf is the answer of the log with one entry of n bytes, or none for 0.
+// batchOf returns a batch of the log with one entry of n bytes, or no entry for 0.
 func batchOf(n int) platform.Batch {
 	b := platform.Batch{Oldest: 12345678, Next: 12345678}
 	if n > 0 {
@@ -87,10 +87,11 @@
 	}()
 }
 
-// serve answers every request of a connection, or holds the answers.
+// serve answers every request of a connection. If release is set, it holds the
+// answers until that channel is closed.
 func (e *responder) serve(conn net.Conn, answer []byte) {
 	defer func() { _ = conn.Close() }()
-	r := bufio.NewReader(countedReader{conn, &e.read})
+	r := bufio.NewReader(countingReader{conn, &e.bytesRead})
 	for {
 		req, err := http.ReadRequest(r)
 		if err != nil {
@@ -99,24 +100,24 @@
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		if e.held != nil {
-			e.waiting.Done()
-			<-e.held
+		if e.release != nil {
+			e.heldAnswers.Done()
+			<-e.release
 		}
 		n, err := conn.Write(answer)
 		if err != nil {
 			return
 		}
-		e.written.Add(int64(n))
+		e.bytesWritten.Add(int64(n))
 	}
 }
 
-type countedReader struct {
+type countingReader struct {
 	io.Reader
 	n *atomic.Int64
 }
 
-func (r countedReader) Read(p []byte) (int, error) {
+func (r countingReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	r.n.Add(int64(n))
 	return n, err
@@ -142,18 +143,18 @@
 	return err
 }
 
-// bytes returns the bytes of one exchange in both directions, HTTP headers
-// included.
-func (e *responder) bytes(b *testing.B, call func(*responder) error) float64 {
+// bytesPerCall returns the bytes of one exchange in both directions, including HTTP
+// headers.
+func (e *responder) bytesPerCall(b *testing.B, call func(*responder) error) float64 {
 	const calls = 10
 	for range calls {
 		require.NoError(b, call(e))
 	}
-	return constant(b, float64(e.read.Load()+e.written.Load())/calls)
+	return fixedValue(b, float64(e.bytesRead.Load()+e.bytesWritten.Load())/calls)
 }
 
-// processor returns the processor time of one exchange.
-func (e *responder) processor(b *testing.B, call func(*responder) error) float64 {
+// processorTimePerCall returns the nanoseconds of processor time of one exchange.
+func (e *responder) processorTimePerCall(b *testing.B, call func(*responder) error) float64 {
 	require.NoError(b, call(e))
 	before, n := processorTime(b), 0
 	for b.Loop() {
@@ -163,12 +164,12 @@
 	return float64(processorTime(b)-before) / float64(n)
 }
 
-// connectionMemory returns the memory of n workers' connections, each with a
-// renewal that waits. The answering end's small part is included.
+// connectionMemory returns the memory of the connections to n workers, each with a
+// waiting renewal. It includes the small part of the answering end.
 func connectionMemory(b *testing.B, n int, r platform.RenewRequest) float64 {
-	before := inUse()
-	e := &responder{held: make(chan struct{})}
-	e.waiting.Add(n)
+	before := memoryInUse()
+	e := &responder{release: make(chan struct{})}
+	e.heldAnswers.Add(n)
 	e.listen(b, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	var calls sync.WaitGroup
@@ -177,10 +178,10 @@
 		w.Addr = e.url
 		calls.Go(func() { _, _ = e.workers.Renew(ctx, w, r) })
 	}
-	e.waiting.Wait()
-	after := inUse()
+	e.heldAnswers.Wait()
+	after := memoryInUse()
 	cancel()
-	close(e.held)
+	close(e.release)
 	calls.Wait()
 	return float64(after) - float64(before)
 }
--- a/internal/capacity/memory_bench_test.go
+++ b/internal/capacity/memory_bench_test.go
@@ -15,21 +15,21 @@
 	}
 	const peers = 20
 	measure(b, "member_memory_by_team", memoryBytes, "team", []int{0, 60, 170}, func(b *testing.B, n int) float64 {
-		alone := inUseBy(func() *cell { return newCell(b, cellSize{instances: 1, teams: n}) })
+		alone := memoryHeldBy(func() *cell { return newCell(b, cellSize{instances: 1, teams: n}) })
 		return (size(b, cellSize{instances: 1 + peers, teams: n}) - alone) / peers
 	})
 	measure(b, "held_worker_memory", memoryBytes, "worker", []int{100, 1000}, func(b *testing.B, n int) float64 {
 		return size(b, cellSize{instances: 1, workers: n})
 	})
 	measure(b, "listed_worker_memory", memoryBytes, "worker", []int{1200, 12000}, func(b *testing.B, n int) float64 {
-		return size(b, cellSize{instances: 2, workers: n, spare: true})
+		return size(b, cellSize{instances: 2, workers: n, withoutShards: true})
 	})
 	measure(b, "running_task_memory", memoryBytes, "task", []int{500, 4000}, func(b *testing.B, n int) float64 {
 		return memory(b, func() *cell {
 			c := newCell(b, cellSize{instances: 1, workers: 100, teams: 1})
 			for range n {
 				c.handle++
-				c.answer(c.submit())
+				c.handleAction(c.startRequest())
 			}
 			return c
 		})
@@ -37,7 +37,7 @@
 	measure(b, "finished_request_memory", memoryBytes, "request", []int{500, 4000}, func(b *testing.B, n int) float64 {
 		return memory(b, func() *cell {
 			c := newCell(b, cellSize{instances: 1, workers: 10, teams: 1})
-			c.calls(n)
+			c.completeCalls(n)
 			return c
 		})
 	})
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -6,78 +6,83 @@
 	"pollenbend/internal/model"
 )
 
-// Cost is one line of what an instance spends.
+// Cost is one item of what an instance spends.
 type Cost struct {
 	Role      string
 	Item      string
-	Mechanism string // package that carries it
-	Control   bool   // against the limits for control; otherwise traffic
+	Mechanism string // packages that cause it
+	Control   bool   // whether it counts as control, which has limits, or as traffic
 	Messages  float64
 	Bytes     float64 // per second, both directions
-	Core      float64 // part of one core
+	Core      float64 // ratio of one core
 	Memory    float64 // bytes
-	Remedy    string  // change that would bring it down
+	Remedy    string  // change that would reduce it
 }
 
-// Model works out costs for one size, number of instances and design.
+// Model calculates the costs for one size, design and number of instances.
 type Model struct {
-	Slopes Slopes
-	Size   Size
-	Design Design
-	N      int // instances
+	Slopes    Slopes
+	Size      Size
+	Design    Design
+	Instances int // instances
 }
 
 const nano = 1e-9
 
-func (m Model) n() float64       { return float64(m.N) }
-func (m Model) workers() float64 { return float64(m.Size.Workers) / m.n() }
-func (m Model) teams() float64   { return float64(m.Size.Teams) }
-func (m Model) starts() float64  { return m.Size.StartsPerSecond / m.n() }
+func (m Model) instances() float64          { return float64(m.Instances) }
+func (m Model) workersPerInstance() float64 { return float64(m.Size.Workers) / m.instances() }
+func (m Model) teams() float64              { return float64(m.Size.Teams) }
+func (m Model) startsPerInstance() float64  { return m.Size.StartsPerSecond / m.instances() }
 
-// listed returns the workers of the list that one instance keeps in mind.
-func (m Model) listed() float64 { return m.Design.ListedWorkers(float64(m.Size.Workers), m.n()) }
+// listedWorkers returns the workers of the list that one instance keeps in memory.
+func (m Model) listedWorkers() float64 {
+	return m.Design.ListedWorkers(float64(m.Size.Workers), m.instances())
+}
 
-// remote is the chance that the next instance on a request's way is another one.
-func (m Model) remote() float64 { return (m.n() - 1) / m.n() }
+// remoteProbability is the probability that a request's next hop is another
+// instance.
+func (m Model) remoteProbability() float64 { return (m.instances() - 1) / m.instances() }
 
-// remembered returns the finished requests that one instance remembers when the
-// peak has lasted for the retention.
-func (m Model) remembered() float64 { return m.starts() * m.Design.Periods.Retention.Seconds() }
+// finishedRequests returns the finished requests that one instance retains once
+// the peak has lasted for the retention.
+func (m Model) finishedRequests() float64 {
+	return m.startsPerInstance() * m.Design.Periods.Retention.Seconds()
+}
 
-func (m Model) waiting() float64 { return m.Size.WaitingPerTeam * m.teams() / m.n() }
+func (m Model) waitingRequests() float64 { return m.Size.WaitingPerTeam * m.teams() / m.instances() }
 
-// datagram returns the overhead of one datagram.
-func (m Model) datagram() float64 {
+// datagramOverhead returns the overhead of one datagram in bytes.
+func (m Model) datagramOverhead() float64 {
 	t := m.Slopes.Transport
-	return (t.PingBytes-pingBodies)/t.PingDatagrams + ipUDPHeader
+	return (t.PingBytes-pingPayloadBytes)/t.PingDatagrams + ipUDPHeaderBytes
 }
 
-// message returns the bytes on the wire of a message between instances, its
-// acknowledgment included.
-func (m Model) message(payload float64) float64 {
-	datagrams := math.Ceil((payload+frameHeader)/datagramBody) + 1
-	return payload + frameHeader + datagrams*m.datagram()
+// messageBytes returns the bytes on the wire of a message between instances,
+// including its acknowledgment.
+func (m Model) messageBytes(payload float64) float64 {
+	datagrams := math.Ceil((payload+frameHeaderBytes)/maxDatagramBodyBytes) + 1
+	return payload + frameHeaderBytes + datagrams*m.datagramOverhead()
 }
 
-// exchange returns the bytes on the wire of an HTTP exchange, with the segments
-// of the request, the answer and the last acknowledgment.
-func exchange(body float64) float64 {
-	segments := 3 + math.Floor(body/segmentBody)
-	return body + segments*ipTCPHeader
+// exchangeBytes returns the bytes on the wire of an HTTP exchange, including the
+// headers of the segments of the request, the answer and the last acknowledgment.
+func exchangeBytes(body float64) float64 {
+	segments := 3 + math.Floor(body/maxSegmentBodyBytes)
+	return body + segments*ipTCPHeaderBytes
 }
 
-// Costs returns every line.
+// Costs returns every item.
 func (m Model) Costs() []Cost {
 	var costs []Cost
 	for _, part := range [][]Cost{
-		m.callers(), m.requests(), m.limits(), m.holders(), m.membership(), m.ownership(), m.configuration(), m.timeLine(),
+		m.callerCosts(), m.requestCosts(), m.limitCosts(), m.leaseHolderCosts(), m.membershipCosts(), m.ownershipCosts(), m.configurationCosts(), m.timelineCosts(),
 	} {
 		costs = append(costs, part...)
 	}
 	return costs
 }
 
-// Sum returns the sum of the lines for control, or of those for traffic.
+// Sum returns the sum of the items for control, or of those for traffic.
 func (m Model) Sum(control bool) Cost {
 	var sum Cost
 	for _, c := range m.Costs() {
@@ -92,180 +97,180 @@
 	return sum
 }
 
-func (m Model) callers() []Cost {
+func (m Model) callerCosts() []Cost {
 	l := m.Slopes.Lines
-	open := m.Size.OpenCallers / m.n()
+	open := m.Size.OpenCallers / m.instances()
 	return []Cost{{
 		Role: "taking callers", Item: "tick over open requests", Mechanism: "internal/service/gateway", Control: true,
-		Core: ticksPerSecond * open * l.TickByOpen.Each() * nano,
+		Core: ticksPerSecond * open * l.TickByOpen.Slope() * nano,
 	}, {
 		Role: "taking callers", Item: "callers' exchanges", Mechanism: "internal/httpapi, internal/service/gateway",
-		Messages: 2 * m.starts(),
-		Bytes:    m.starts() * exchange(l.CallerBytes.At(messagePayload)),
-		Core:     m.starts() * l.CallerNS.At(messagePayload) * nano,
-		Memory:   open * l.CallerMemory.Each(),
+		Messages: 2 * m.startsPerInstance(),
+		Bytes:    m.startsPerInstance() * exchangeBytes(l.CallerBytes.At(messagePayloadBytes)),
+		Core:     m.startsPerInstance() * l.CallerNS.At(messagePayloadBytes) * nano,
+		Memory:   open * l.CallerMemory.Slope(),
 	}}
 }
 
-func (m Model) requests() []Cost {
+func (m Model) requestCosts() []Cost {
 	l := m.Slopes.Lines
-	hops := m.starts() * m.remote()
-	messages := float64(callMessageCount)
-	payload := l.CallPeerBytes.At(messagePayload)
+	hops := m.startsPerInstance() * m.remoteProbability()
+	messages := float64(messagesPerCall)
+	payload := l.CallPeerBytes.At(messagePayloadBytes)
 	calls := Cost{
 		Role: "request shards", Item: "calls: forward, dispatch, two states, reply", Mechanism: "internal/service/requests",
 		Messages: 2 * messages * hops,
-		Bytes:    2 * hops * (messages*m.message(0) + payload),
-		Core:     (hops*(l.CallPeerNS.At(messagePayload)+messages*m.Slopes.Transport.SendNS) + m.starts()*(l.CallByWorker.At(m.workers())+l.CallByRemembered.Each()*m.remembered())) * nano,
+		Bytes:    2 * hops * (messages*m.messageBytes(0) + payload),
+		Core:     (hops*(l.CallPeerNS.At(messagePayloadBytes)+messages*m.Slopes.Transport.SendNS) + m.startsPerInstance()*(l.CallByWorker.At(m.workersPerInstance())+l.CallByRemembered.Slope()*m.finishedRequests())) * nano,
 	}
 	remembered := Cost{
 		Role: "request shards", Item: "finished requests and outcomes, kept for the retention", Mechanism: "internal/service/requests, ledger",
-		Control: true, Memory: m.remembered() * l.FinishedMemory.Each(),
+		Control: true, Memory: m.finishedRequests() * l.FinishedRequestMemory.Slope(),
 		Remedy: "keep a hash and a verdict of an answered request and drop its payload; expire from a queue in order of time",
 	}
 	waiting := Cost{
 		Role: "request shards", Item: "waiting requests", Mechanism: "internal/service/requests, gateway",
-		Control: true, Memory: m.waiting() * l.WaitingMemory.Each(),
+		Control: true, Memory: m.waitingRequests() * l.WaitingRequestMemory.Slope(),
 		Remedy: "deadlines in a heap, in place of the scans of each tick",
 	}
 	if m.Design.Scans {
-		remembered.Core = ticksPerSecond * m.remembered() * l.TickByFinished.Each() * nano
-		waiting.Core = ticksPerSecond * m.waiting() * l.TickByWaiting.Each() * nano
+		remembered.Core = ticksPerSecond * m.finishedRequests() * l.TickByFinished.Slope() * nano
+		waiting.Core = ticksPerSecond * m.waitingRequests() * l.TickByWaiting.Slope() * nano
 	} else {
-		remembered.Memory = m.remembered() * digestBytes
+		remembered.Memory = m.finishedRequests() * digestBytes
 	}
-	return []Cost{calls, remembered, waiting, m.jobs()}
+	return []Cost{calls, remembered, waiting, m.jobCost()}
 }
 
-// jobs is the fold of the jobs of all teams: those that run and those that ended
+// jobCost returns the cost of the state of the jobs of all teams that run or ended
 // within the retention.
-func (m Model) jobs() Cost {
+func (m Model) jobCost() Cost {
 	l := m.Slopes.Lines
-	known := m.knownJobs()
+	known := m.retainedJobs()
 	tasks := m.Size.StartsPerSecond * m.Design.Periods.Retention.Seconds()
 	c := Cost{
 		Role: "request shards", Item: "jobs accepted for later, folded", Mechanism: "internal/service/jobs", Control: true,
 		Remedy: "fold only the jobs of the shards that are owned here; ended tasks as ranges of indexes",
 	}
-	if !m.Design.FoldAll {
-		known, tasks = known/m.n(), tasks*rangeBytes/max(l.JobMemoryByTask.Each(), 1)/m.n()
+	if !m.Design.ReadsWholeLog {
+		known, tasks = known/m.instances(), tasks*endedTaskBytes/max(l.JobMemoryByTask.Slope(), 1)/m.instances()
 	}
-	c.Memory = known*l.JobMemory.Each() + tasks*l.JobMemoryByTask.Each()
-	c.Core = ticksPerSecond * known * l.TickByJob.Each() * nano * m.scanned()
+	c.Memory = known*l.JobMemory.Slope() + tasks*l.JobMemoryByTask.Slope()
+	c.Core = ticksPerSecond * known * l.TickByJob.Slope() * nano * m.scanMultiplier()
 	return c
 }
 
-// knownJobs returns the jobs that run or ended within the retention.
-func (m Model) knownJobs() float64 {
-	perSecond := m.Size.JobsPerDay / secondsPerDay * peakToMean
+// retainedJobs returns the number of jobs that run or ended within the retention.
+func (m Model) retainedJobs() float64 {
+	perSecond := m.Size.JobsPerDay / secondsPerDay * peakToMeanRatio
 	return perSecond * (m.Design.Periods.Retention.Seconds() + m.taskSeconds())
 }
 
-// taskSeconds returns how long a task runs that is not part of a service.
+// taskSeconds returns how long a task that does not belong to a service runs.
 func (m Model) taskSeconds() float64 {
-	return m.Size.RunningTasks * (1 - servicePart) / m.Size.StartsPerSecond
+	return m.Size.RunningTasks * (1 - serviceTaskRatio) / m.Size.StartsPerSecond
 }
 
 const (
-	// servicePart is the part of the running tasks that belongs to services.
-	servicePart = 0.2
-	// rangeBytes is what the changed design keeps of an ended task of a job.
-	rangeBytes = 1
+	// serviceTaskRatio is the ratio of the running tasks that belong to services.
+	serviceTaskRatio = 0.2
+	// endedTaskBytes is the memory of an ended task of a job in the proposed design.
+	endedTaskBytes = 1
 )
 
 const (
-	callMessageCount = 5
-	// digestBytes is what the changed design keeps of an answered request.
+	messagesPerCall = 5
+	// digestBytes is the memory of an answered request in the proposed design.
 	digestBytes = 64
 )
 
-func (m Model) limits() []Cost {
+func (m Model) limitCosts() []Cost {
 	l := m.Slopes.Lines
-	planCost := l.PlanByWorker.At(m.listed()) + l.PlanByInstance.Each()*m.n()
-	if m.Design.PlanCounts {
-		planCost = l.PlanByInstance.At(m.n())
+	planCost := l.PlanByWorker.At(m.listedWorkers()) + l.PlanByInstance.Slope()*m.instances()
+	if m.Design.PlansUseCounts {
+		planCost = l.PlanByInstance.At(m.instances())
 	}
-	grants := 2 * m.Design.GrantsPerSecond * m.teams() * m.remote()
+	grants := 2 * m.Design.GrantsPerSecond * m.teams() * m.remoteProbability()
 	return []Cost{
 		{
 			Role: "team shards", Item: "plans of ceilings", Mechanism: "internal/service/limits", Control: true,
-			Core:   m.Design.PlansPerSecond * (m.teams()/m.n()*planCost + l.PlanByTeam.At(m.teams())) * nano,
+			Core:   m.Design.PlansPerSecond * (m.teams()/m.instances()*planCost + l.PlanByTeam.At(m.teams())) * nano,
 			Remedy: "keep the count of uncovered slots and the list of limited teams up to date with their changes; plan a team only when its demand changed",
 		},
 		{
 			Role: "team shards", Item: "grants, if every ceiling changes at each plan", Mechanism: "internal/service/limits", Control: true,
-			Messages: grants, Bytes: grants * m.message(l.GrantBytes.Values[0]),
+			Messages: grants, Bytes: grants * m.messageBytes(l.GrantBytes.Values[0]),
 			Core:   grants / 2 * m.Slopes.Transport.SendNS * nano,
 			Remedy: "step ceilings in parts of a tenth with hysteresis, and carry all of a receiver's grants in one message",
 		},
 	}
 }
 
-func (m Model) holders() []Cost {
+func (m Model) leaseHolderCosts() []Cost {
 	l := m.Slopes.Lines
-	// A renewal ends early when an outcome comes.
-	renewals := m.workers()/m.Design.Periods.RenewWait.Seconds() + m.starts()
-	idle := m.workers() / m.Design.Periods.RenewWait.Seconds()
+	// A renewal is answered early when a run finishes.
+	renewals := m.workersPerInstance()/m.Design.Periods.RenewWait.Seconds() + m.startsPerInstance()
+	idle := m.workersPerInstance() / m.Design.Periods.RenewWait.Seconds()
 	return []Cost{
 		{
 			Role: "worker holders", Item: "renewals of leases", Mechanism: "internal/service/ledger, internal/platform/httpclient", Control: true,
 			Messages: 2 * idle,
-			Bytes:    idle * exchange(l.RenewalBytes.Fixed()),
-			Core:     idle * (l.ExchangeNS.Fixed() + l.RenewalTake.Fixed()) * nano,
-			Memory:   m.workers() * (l.HeldMemory.Each() + l.ConnectionMemory.Each()),
+			Bytes:    idle * exchangeBytes(l.RenewalBytes.Intercept()),
+			Core:     idle * (l.ExchangeNS.Intercept() + l.RenewalTake.Intercept()) * nano,
+			Memory:   m.workersPerInstance() * (l.HeldWorkerMemory.Slope() + l.ConnectionMemory.Slope()),
 			Remedy:   "longer leases, with a wait of half of the lease; one renewal for the workers of a rack",
 		},
 		{
 			Role: "worker holders", Item: "tick over the held workers", Mechanism: "internal/service/ledger", Control: true,
-			Core:   ticksPerSecond * m.workers() * l.TickByWorker.Each() * nano * m.scanned(),
+			Core:   ticksPerSecond * m.workersPerInstance() * l.TickByWorker.Slope() * nano * m.scanMultiplier(),
 			Remedy: "due times in a heap; free resources and coverage kept up to date",
 		},
 		{
 			Role: "worker holders", Item: "running tasks", Mechanism: "internal/service/ledger, requests", Control: true,
-			Memory: m.Size.RunningTasks / m.n() * l.RunningMemory.Each(),
+			Memory: m.Size.RunningTasks / m.instances() * l.RunningTaskMemory.Slope(),
 			Remedy: "keep a task's payload at the worker only",
 		},
 		{
 			Role: "worker holders", Item: "starts and outcomes", Mechanism: "internal/service/ledger, internal/platform/httpclient",
-			Messages: 4 * m.starts(),
-			Bytes:    m.starts()*exchange(l.StartBytes.At(messagePayload)) + (renewals-idle)*exchange(l.RenewalBytes.At(1)),
-			Core:     m.starts() * (2*l.ExchangeNS.At(1) + l.RenewalTake.At(1)) * nano,
+			Messages: 4 * m.startsPerInstance(),
+			Bytes:    m.startsPerInstance()*exchangeBytes(l.StartBytes.At(messagePayloadBytes)) + (renewals-idle)*exchangeBytes(l.RenewalBytes.At(1)),
+			Core:     m.startsPerInstance() * (2*l.ExchangeNS.At(1) + l.RenewalTake.At(1)) * nano,
 		},
 	}
 }
 
-// scanned is 1 where ticks scan and 0 where they don't.
-func (m Model) scanned() float64 {
+// scanMultiplier is 1 if ticks scan and 0 if they don't.
+func (m Model) scanMultiplier() float64 {
 	if m.Design.Scans {
 		return 1
 	}
 	return 0
 }
 
-func (m Model) membership() []Cost {
+func (m Model) membershipCosts() []Cost {
 	l, t := m.Slopes.Lines, m.Slopes.Transport
-	rate := m.Design.Peers(m.N) / m.Design.Periods.Heartbeat.Seconds()
-	lines := m.teams() * m.Design.TeamLines
-	members := min(m.n(), m.Design.Peers(m.N)+1)
-	size := l.HeartbeatBytesByMember.At(members) + lines*l.HeartbeatBytesByTeam.Each()
-	encode := l.HeartbeatEncodeByMember.At(members) + lines*l.HeartbeatEncodeByTeam.Each()
-	take := l.HeartbeatTakeByMember.At(members) + lines*l.HeartbeatTakeByTeam.Each()
+	rate := m.Design.Peers(m.Instances) / m.Design.Periods.Heartbeat.Seconds()
+	lines := m.teams() * m.Design.TeamLineRatio
+	members := min(m.instances(), m.Design.Peers(m.Instances)+1)
+	size := l.HeartbeatBytesByMember.At(members) + lines*l.HeartbeatBytesByTeam.Slope()
+	encode := l.HeartbeatEncodeByMember.At(members) + lines*l.HeartbeatEncodeByTeam.Slope()
+	take := l.HeartbeatTakeByMember.At(members) + lines*l.HeartbeatTakeByTeam.Slope()
 	costs := []Cost{{
 		Role: "membership", Item: "heartbeats with a line for each team", Mechanism: "internal/service/membership", Control: true,
-		Messages: 2 * rate, Bytes: 2 * rate * m.message(size),
+		Messages: 2 * rate, Bytes: 2 * rate * m.messageBytes(size),
 		Core:   rate * (encode + take + t.SendNS) * nano,
-		Memory: m.Design.Peers(m.N) * l.MemberMemoryByTeam.At(m.teams()),
+		Memory: m.Design.Peers(m.Instances) * l.MemberMemoryByTeam.At(m.teams()),
 		Remedy: "probe a few members in turn and pass news on (SWIM) within a zone, one voice of each zone between zones; send only the team lines that changed",
 	}}
 	pings := Cost{
 		Role: "membership", Item: "connections and their pings", Mechanism: "internal/transport", Control: true,
-		Memory: m.Design.Peers(m.N) * t.ConnectionBytes,
+		Memory: m.Design.Peers(m.Instances) * t.ConnectionBytes,
 		Remedy: "no pings where heartbeats pass; connections to the members of the own zone, others on demand",
 	}
 	if m.Design.PingsBesideHeartbeats {
 		exchanges := 2 * rate
 		pings.Messages = 2 * exchanges
-		pings.Bytes = exchanges * (t.PingBytes + t.PingDatagrams*ipUDPHeader)
+		pings.Bytes = exchanges * (t.PingBytes + t.PingDatagrams*ipUDPHeaderBytes)
 		pings.Core = exchanges * t.SendNS * nano
 	}
 	return append(costs, pings, Cost{
@@ -279,31 +284,31 @@
 	})
 }
 
-// shareLines returns the lines of teams that weighing the shares looks at.
+// shareLines returns how many team lines the calculation of the shares reads.
 func (m Model) shareLines() float64 {
 	if m.Design.Scans {
-		return m.teams() * m.teams() * m.n()
+		return m.teams() * m.teams() * m.instances()
 	}
-	return m.teams() * m.Design.Peers(m.N)
+	return m.teams() * m.Design.Peers(m.Instances)
 }
 
-func (m Model) ownership() []Cost {
+func (m Model) ownershipCosts() []Cost {
 	l := m.Slopes.Lines
 	list := Cost{
 		Role: "ownership", Item: "the instance list", Mechanism: "internal/node, internal/platform/httpclient", Control: true,
 		Messages: 2 * listingsPerSecond,
-		Bytes:    listingsPerSecond * exchange(l.LogReadBytes.Fixed()),
-		Core:     listingsPerSecond * l.ExchangeNS.Fixed() * nano,
-		Memory:   m.listed() * l.RosterMemory.Each(),
+		Bytes:    listingsPerSecond * exchangeBytes(l.LogReadBytes.Intercept()),
+		Core:     listingsPerSecond * l.ExchangeNS.Intercept() * nano,
+		Memory:   m.listedWorkers() * l.ListedWorkerMemory.Slope(),
 		Remedy:   "ask with the version that is known and read only the entries that changed since; each instance reads its own zone",
 	}
-	if m.Design.WholeListing {
+	if m.Design.ReadsWholeListing {
 		workers := float64(m.Size.Workers)
-		list.Bytes = listingsPerSecond * exchange(l.LogReadBytes.Fixed()+l.ListingBytes.At(workers))
+		list.Bytes = listingsPerSecond * exchangeBytes(l.LogReadBytes.Intercept()+l.ListingBytes.At(workers))
 		list.Core += listingsPerSecond * l.ListingTake.At(workers) * nano
 	}
-	moves := m.movesPerSecond() * m.Size.RunningTasks / m.n() * l.MoveByTask.Each() * nano * m.scanned()
-	memory := 2 * m.replacements() * 2 * m.shards() / m.n() * m.shardMemory()
+	moves := m.shardMovesPerSecond() * m.Size.RunningTasks / m.instances() * l.MoveByTask.Slope() * nano * m.scanMultiplier()
+	memory := 2 * m.replacementsPerSecond() * 2 * m.shardsPerInstance() / m.instances() * m.handoverBytesPerShard()
 	return []Cost{list, {
 		Role: "ownership", Item: "folds of moved shards", Mechanism: "internal/service/ledger", Control: true,
 		Core: moves, Remedy: "an index of tasks by request shard, in place of the sort of all tasks for each moved shard",
@@ -313,39 +318,40 @@
 	}}
 }
 
-// shardMemory returns the bytes that pass with one shard at the peak.
-func (m Model) shardMemory() float64 {
-	requests := m.remembered() * m.n() / model.Shards
+// handoverBytesPerShard returns the bytes that are handed over with one shard at
+// the peak.
+func (m Model) handoverBytesPerShard() float64 {
+	requests := m.finishedRequests() * m.instances() / model.Shards
 	if !m.Design.Scans {
 		return requests * digestBytes
 	}
-	return requests * m.Slopes.Lines.HandoverBytes.Each()
+	return requests * m.Slopes.Lines.HandoverBytes.Slope()
 }
 
-func (m Model) configuration() []Cost {
+func (m Model) configurationCosts() []Cost {
 	l := m.Slopes.Lines
 	appends := m.Appends()
 	entries := appends.Total()
 	bytes := appends.Bytes()
-	if !m.Design.FoldAll {
-		entries, bytes = entries/m.n()+appends.Changes, bytes/m.n()+appends.Changes*l.ChangeBytes.At(objectsPerChange)
+	if !m.Design.ReadsWholeLog {
+		entries, bytes = entries/m.instances()+appends.Changes, bytes/m.instances()+appends.Changes*l.ChangeBytes.At(objectsPerChange)
 	}
-	snapshot := l.SnapshotEntry.At(m.knownJobs())
-	if !m.Design.FoldAll {
-		snapshot /= m.n()
+	snapshot := l.SnapshotEntry.At(m.retainedJobs())
+	if !m.Design.ReadsWholeLog {
+		snapshot /= m.instances()
 	}
-	polls := max(logPollsPerSecond, min(entries, maxPolls))
+	polls := max(logPollsPerSecond, min(entries, maxPollsPerSecond))
 	return []Cost{
 		{
 			Role: "configuration", Item: "reading snapshots in the log", Mechanism: "internal/service/snapshots", Control: true,
-			Bytes:  snapshot * l.LogReadBytes.Each() / m.snapshotSeconds(),
+			Bytes:  snapshot * l.LogReadBytes.Slope() / m.snapshotIntervalSeconds(),
 			Remedy: "snapshots by shard in streams of their own, read only by a new owner",
 		},
 		{
 			Role: "configuration", Item: "reading the log at the peak", Mechanism: "internal/node, internal/core", Control: true,
 			Messages: 2 * polls,
-			Bytes:    polls*exchange(l.LogReadBytes.Fixed()) + bytes*l.LogReadBytes.Each(),
-			Core:     (polls*l.ExchangeNS.Fixed() + appends.Changes*l.ChangeTake.At(m.teams()) + m.folded()*l.ProgressTake.Each()) * nano,
+			Bytes:    polls*exchangeBytes(l.LogReadBytes.Intercept()) + bytes*l.LogReadBytes.Slope(),
+			Core:     (polls*l.ExchangeNS.Intercept() + appends.Changes*l.ChangeTake.At(m.teams()) + m.appliedTasksPerSecond()*l.ProgressTake.Slope()) * nano,
 			Remedy:   "a stream for each region's claims and jobs and one for declarations, and a wait before the next read so that one poll brings many entries",
 		},
 		{
@@ -355,36 +361,38 @@
 	}
 }
 
-// snapshotSeconds returns the time between two snapshots at the peak.
-func (m Model) snapshotSeconds() float64 {
-	return min(max(snapshotEntries/m.Appends().Total(), minSnapshotSeconds), maxSnapshotSeconds)
+// snapshotIntervalSeconds returns the time between two snapshots at the peak.
+func (m Model) snapshotIntervalSeconds() float64 {
+	return min(max(entriesPerSnapshot/m.Appends().Total(), minSnapshotIntervalSeconds), maxSnapshotIntervalSeconds)
 }
 
-// When internal/service/snapshots appends one, in entries and seconds.
+// Conditions under which internal/service/snapshots appends a snapshot.
 const (
-	snapshotEntries    = 20000
-	minSnapshotSeconds = 90
-	maxSnapshotSeconds = 900
+	entriesPerSnapshot         = 20000
+	minSnapshotIntervalSeconds = 90
+	maxSnapshotIntervalSeconds = 900
 )
 
-// folded returns the ends of jobs' tasks that one instance folds a second.
-func (m Model) folded() float64 {
-	if m.Design.FoldAll {
+// appliedTasksPerSecond returns how many ended tasks of jobs one instance applies
+// to its state per second.
+func (m Model) appliedTasksPerSecond() float64 {
+	if m.Design.ReadsWholeLog {
 		return m.Size.StartsPerSecond
 	}
-	return m.starts()
+	return m.startsPerInstance()
 }
 
-// maxPolls bounds the reads of the log a second, each of which takes some time.
-const maxPolls = 100
+// maxPollsPerSecond limits the reads of the log, each of which takes some time.
+const maxPollsPerSecond = 100
 
-// timeLine is the ring of the instance's latest events, which is read on demand.
-func (m Model) timeLine() []Cost {
+// timelineCosts returns the cost of the ring buffer of the instance's latest
+// events, which is read only on demand.
+func (m Model) timelineCosts() []Cost {
 	return []Cost{{
 		Role: "time line", Item: "ring of the latest events", Mechanism: "internal/event", Control: true,
-		Memory: timeLineEvents * m.Slopes.Lines.TimeLineMemory.Each(),
+		Memory: maxTimelineEvents * m.Slopes.Lines.TimelineMemory.Slope(),
 	}}
 }
 
-// timeLineEvents is the most events that the ring holds.
-const timeLineEvents = 8192
+// maxTimelineEvents is the maximum number of events in the ring buffer.
+const maxTimelineEvents = 8192
--- a/internal/capacity/names.go
+++ b/internal/capacity/names.go
@@ -5,7 +5,7 @@
 	"reflect"
 )
 
-// byName yields every line with the name of its metric, in the order declared.
+// byName yields every line with the name of its metric, in the order of the fields.
 func (l Lines) byName() iter.Seq2[string, Line] {
 	return func(yield func(string, Line) bool) {
 		v := reflect.ValueOf(l)
--- a/internal/capacity/need.go
+++ b/internal/capacity/need.go
@@ -2,46 +2,47 @@
 
 import "pollenbend/internal/model"
 
-// Within reports whether a cost keeps each of the limits, with the garbage that its
-// live memory brings.
+// Within reports for each limit whether a cost keeps it. The live memory counts
+// heapMultiplier times, for the garbage that the heap holds.
 func (l Limits) Within(c Cost) (core, memory, bytes bool) {
-	return c.Core <= l.Core, c.Memory*garbageFactor <= l.Memory, c.Bytes <= l.Bytes
+	return c.Core <= l.Core, c.Memory*heapMultiplier <= l.Memory, c.Bytes <= l.BytesPerSecond
 }
 
-// Need is the smallest number of instances that keeps each limit, 0 where none
-// does up to the number of shards: an instance without a shard takes no work.
+// Need holds the smallest number of instances that keeps each limit, or 0 if none
+// up to the number of shards does. More instances than shards don't help: an
+// instance without a shard gets no work.
 type Need struct {
 	Core, Memory, Bytes, All int
-	// Traffic is the smallest number whose traffic and control together take at
-	// most one core of each instance.
+	// Traffic is the smallest number with which traffic and control together use
+	// at most one core of each instance.
 	Traffic int
 }
 
-// MinInstances is the smallest number of instances that is weighed.
+// MinInstances is the smallest number of instances that Needed considers.
 const MinInstances = 9
 
-// MaxInstances is the largest number of instances that is weighed.
+// MaxInstances is the largest number of instances that Needed considers.
 const MaxInstances = model.Shards
 
-// Needed looks for the smallest number of instances.
+// Needed returns the smallest number of instances that keeps each limit.
 func (m Model) Needed(limits Limits) Need {
 	var need Need
 	for n := MinInstances; n <= MaxInstances; n++ {
-		m.N = n
+		m.Instances = n
 		control, traffic := m.Sum(true), m.Sum(false)
 		core, memory, bytes := limits.Within(control)
-		first(&need.Core, n, core)
-		first(&need.Memory, n, memory)
-		first(&need.Bytes, n, bytes)
-		first(&need.All, n, core && memory && bytes)
-		first(&need.Traffic, n, control.Core+traffic.Core <= 1)
+		setFirst(&need.Core, n, core)
+		setFirst(&need.Memory, n, memory)
+		setFirst(&need.Bytes, n, bytes)
+		setFirst(&need.All, n, core && memory && bytes)
+		setFirst(&need.Traffic, n, control.Core+traffic.Core <= 1)
 	}
 	return need
 }
 
-// first keeps the first n for which ok holds.
-func first(at *int, n int, ok bool) {
-	if ok && *at == 0 {
-		*at = n
+// setFirst sets target to n if ok is true and target is not set yet.
+func setFirst(target *int, n int, ok bool) {
+	if ok && *target == 0 {
+		*target = n
 	}
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -16,10 +16,10 @@
 
 var update = flag.Bool("update", false, "rewrite the tables of docs/CAPACITY.md")
 
-// tablePattern matches a table of the page between its two marks.
+// tablePattern matches a table of the page between its two markers.
 var tablePattern = regexp.MustCompile(`(?s)<!-- table ([a-z-]+) -->\n(.*?)<!-- end -->`)
 
-// TestCapacityPage works out every table of the page again from the slopes.
+// TestCapacityPage checks that every table of the page follows from the slopes.
 func TestCapacityPage(t *testing.T) {
 	slopes, err := Read(slopesFile)
 	require.NoError(t, err)
@@ -43,20 +43,20 @@
 }
 
 func TestLine(t *testing.T) {
-	for _, c := range []struct {
-		name        string
-		line        Line
-		fixed, each float64
+	for _, tt := range []struct {
+		name             string
+		line             Line
+		intercept, slope float64
 	}{
 		{"exact", Line{Sizes: []float64{10, 30}, Values: []float64{25, 65}}, 5, 2},
 		{"fitted", Line{Sizes: []float64{0, 1, 2}, Values: []float64{0, 2, 1}}, 0.5, 0.5},
 		{"falling", Line{Sizes: []float64{1, 2}, Values: []float64{3, 1}}, 2, 0},
 		{"below zero at 0", Line{Sizes: []float64{10, 20}, Values: []float64{1, 11}}, 0, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			require.InDelta(t, c.fixed, c.line.Fixed(), 1e-9)
-			require.InDelta(t, c.each, c.line.Each(), 1e-9)
-			require.InDelta(t, c.fixed+100*c.each, c.line.At(100), 1e-9)
+		t.Run(tt.name, func(t *testing.T) {
+			require.InDelta(t, tt.intercept, tt.line.Intercept(), 1e-9)
+			require.InDelta(t, tt.slope, tt.line.Slope(), 1e-9)
+			require.InDelta(t, tt.intercept+100*tt.slope, tt.line.At(100), 1e-9)
 		})
 	}
 }
@@ -71,12 +71,12 @@
 func TestNeeded(t *testing.T) {
 	slopes, err := Read(slopesFile)
 	require.NoError(t, err)
-	m := Model{Slopes: slopes, Size: Target(), Design: Changed()}
+	m := Model{Slopes: slopes, Size: TargetSize(), Design: ProposedDesign()}
 	need := m.Needed(ControlLimits())
-	m.N = need.All
+	m.Instances = need.All
 	core, memory, bytes := ControlLimits().Within(m.Sum(true))
 	require.True(t, core && memory && bytes)
-	m.N--
+	m.Instances--
 	core, memory, bytes = ControlLimits().Within(m.Sum(true))
 	require.False(t, core && memory && bytes)
 	m.Size.Workers *= 1000
--- a/internal/capacity/record_test.go
+++ b/internal/capacity/record_test.go
@@ -16,18 +16,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-var recordTo = flag.String("record", "", "write the lines that the benchmarks measured to this slopes file, and keep its other lines")
+var recordFile = flag.String("record", "", "write the lines that the benchmarks measured to this slopes file and keep its other lines")
 
-// recorded holds the lines measured in this run, by the name of their metric.
-var recorded = struct {
+// recordedLines holds the lines measured in this run by the name of their metric.
+var recordedLines = struct {
 	sync.Mutex
 	lines map[string]Line
 }{lines: make(map[string]Line)}
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if *recordTo != "" && code == 0 {
-		if err := writeRecorded(*recordTo); err != nil {
+	if *recordFile != "" && code == 0 {
+		if err := writeRecorded(*recordFile); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			code = 1
 		}
@@ -52,7 +52,7 @@
 	if file.Lines == nil {
 		file.Lines = make(map[string]Line)
 	}
-	for name, l := range recorded.lines {
+	for name, l := range recordedLines.lines {
 		file.Lines[name] = l
 	}
 	if data, err = toml.Marshal(file); err != nil {
@@ -68,7 +68,7 @@
 	return os.WriteFile(path, data, 0o644)
 }
 
-// measure runs one sub-benchmark for each size and records what it returns under
+// measure runs one sub-benchmark for each size and records the returned values under
 // the name of the metric.
 func measure(b *testing.B, name, unit, per string, sizes []int, run func(b *testing.B, size int) float64) {
 	line := Line{Unit: unit, Per: per}
@@ -84,13 +84,13 @@
 		line.Sizes = append(line.Sizes, float64(size))
 		line.Values = append(line.Values, math.Round(value))
 	}
-	recorded.Lock()
-	defer recorded.Unlock()
-	recorded.lines[name] = line
+	recordedLines.Lock()
+	defer recordedLines.Unlock()
+	recordedLines.lines[name] = line
 }
 
-// timed returns the nanoseconds of processor time of one op.
-func timed(b *testing.B, op func()) float64 {
+// threadTimePerOp returns the nanoseconds of processor time of one op.
+func threadTimePerOp(b *testing.B, op func()) float64 {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	before := threadTime(b)
@@ -102,29 +102,30 @@
 	return float64(threadTime(b)-before) / float64(n)
 }
 
-// timedAfter returns the median nanoseconds of one op, without those of the setup
-// before each. Short ops are seldom interrupted, so the median is close to their
+// medianAfterSetup returns the median nanoseconds of one op, excluding the setup
+// before each op. Short ops are seldom interrupted, so the median is close to their
 // processor time.
-func timedAfter(b *testing.B, setup, op func()) float64 {
+func medianAfterSetup(b *testing.B, setup, op func()) float64 {
 	var times []time.Duration
 	for b.Loop() {
 		setup()
-		times = append(times, wall(op))
+		times = append(times, elapsed(op))
 	}
 	return median(times)
 }
 
-// medianOf returns the median nanoseconds of some rounds of an op.
-func medianOf(rounds int, setup, op func()) float64 {
+// medianTime returns the median nanoseconds of one op in a number of rounds,
+// excluding the setup before each op.
+func medianTime(rounds int, setup, op func()) float64 {
 	times := make([]time.Duration, 0, rounds)
 	for range rounds {
 		setup()
-		times = append(times, wall(op))
+		times = append(times, elapsed(op))
 	}
 	return median(times)
 }
 
-func wall(op func()) time.Duration {
+func elapsed(op func()) time.Duration {
 	began := time.Now()
 	op()
 	return time.Since(began)
@@ -135,20 +136,21 @@
 	return float64(times[len(times)/2])
 }
 
-// threadTime returns what the calling thread has used of the processors.
-func threadTime(tb testing.TB) time.Duration { return used(tb, syscall.RUSAGE_THREAD) }
+// threadTime returns the processor time that the calling thread has used.
+func threadTime(tb testing.TB) time.Duration { return processorUsage(tb, syscall.RUSAGE_THREAD) }
 
-// processorTime returns what this process has used of the processors.
-func processorTime(tb testing.TB) time.Duration { return used(tb, syscall.RUSAGE_SELF) }
+// processorTime returns the processor time that this process has used.
+func processorTime(tb testing.TB) time.Duration { return processorUsage(tb, syscall.RUSAGE_SELF) }
 
-func used(tb testing.TB, who int) time.Duration {
+func processorUsage(tb testing.TB, who int) time.Duration {
 	var u syscall.Rusage
 	require.NoError(tb, syscall.Getrusage(who, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// constant runs the op only so that the sub-benchmark ends, and returns v.
-func constant(b *testing.B, v float64) float64 {
+// fixedValue returns v, a value that does not depend on b.N. It runs an empty loop,
+// which a sub-benchmark needs to end.
+func fixedValue(b *testing.B, v float64) float64 {
 	for b.Loop() {
 		runtime.KeepAlive(v)
 	}
@@ -156,20 +158,20 @@
 	return v
 }
 
-// memory returns the bytes of heap and stacks that build's result holds.
+// memory returns the bytes of heap and stacks that the result of build holds.
 func memory[T any](b *testing.B, build func() T) float64 {
-	return constant(b, inUseBy(build))
+	return fixedValue(b, memoryHeldBy(build))
 }
 
-func inUseBy[T any](build func() T) float64 {
-	before := inUse()
+func memoryHeldBy[T any](build func() T) float64 {
+	before := memoryInUse()
 	held := build()
-	after := inUse()
+	after := memoryInUse()
 	runtime.KeepAlive(held)
 	return float64(after) - float64(before)
 }
 
-func inUse() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -6,11 +6,12 @@
 	"strings"
 )
 
-// garbageFactor is what the runtime holds for each live byte, at the default
-// setting of its garbage collector.
-const garbageFactor = 2
+// heapMultiplier is the number of heap bytes per live byte with the default setting
+// of the garbage collector.
+const heapMultiplier = 2
 
-// TargetInstances is the number of instances of the target that the page shows.
+// TargetInstances is the number of instances that the page shows for the target
+// size.
 const TargetInstances = 120
 
 // table is a Markdown table.
@@ -34,10 +35,10 @@
 
 // Tables returns the tables of docs/CAPACITY.md by name.
 func Tables(s Slopes) map[string]string {
-	today := Model{Slopes: s, Size: Today(), Design: AsBuilt(), N: Today().Instances}
-	target := Model{Slopes: s, Size: Target(), Design: AsBuilt(), N: TargetInstances}
+	today := Model{Slopes: s, Size: CurrentSize(), Design: CurrentDesign(), Instances: CurrentSize().Instances}
+	target := Model{Slopes: s, Size: TargetSize(), Design: CurrentDesign(), Instances: TargetInstances}
 	changed := target
-	changed.Design = Changed()
+	changed.Design = ProposedDesign()
 	return map[string]string{
 		"slopes":        slopesTable(s),
 		"transport":     transportTable(s.Transport),
@@ -57,80 +58,81 @@
 	for name, l := range s.Lines.byName() {
 		sizes := make([]string, len(l.Sizes))
 		for i, z := range l.Sizes {
-			sizes[i] = number(z)
+			sizes[i] = formatNumber(z)
 		}
-		t.row("`"+name+"`", strings.Join(sizes, ", "), number(l.Fixed())+" "+l.Unit, number(l.Each())+" "+l.Unit+" a "+l.Per)
+		t.row("`"+name+"`", strings.Join(sizes, ", "), formatNumber(l.Intercept())+" "+l.Unit, formatNumber(l.Slope())+" "+l.Unit+" a "+l.Per)
 	}
 	return t.String()
 }
 
 func transportTable(c TransportCosts) string {
 	t := newTable("Line", "Figure")
-	t.row("one payload, both ends", number(c.SendNS)+" ns")
-	t.row("ping, pong and acknowledgment", fmt.Sprintf("%s bytes in %s datagrams, headers of IP and UDP not included", number(c.PingBytes), number(c.PingDatagrams)))
-	t.row("one idle connection, both ends", bytesOf(c.ConnectionBytes))
+	t.row("one payload, both ends", formatNumber(c.SendNS)+" ns")
+	t.row("ping, pong and acknowledgment", fmt.Sprintf("%s bytes in %s datagrams, headers of IP and UDP not included", formatNumber(c.PingBytes), formatNumber(c.PingDatagrams)))
+	t.row("one idle connection, both ends", formatBytes(c.ConnectionBytes))
 	return t.String()
 }
 
-func rolesTable(m Model, misses bool) string {
+func rolesTable(m Model, withVerdicts bool) string {
 	heads := []string{"Role", "Line", "Carried by", "Counted as", "Messages/s", "Bytes/s", "Core", "Live memory"}
-	if misses {
+	if withVerdicts {
 		heads = append(heads, "Verdict")
 	}
 	t := newTable(heads...)
 	for _, c := range m.Costs() {
-		cells := append([]string{c.Role, c.Item, code(c.Mechanism), kindOf(c)}, figures(c)...)
-		if misses {
-			cells = append(cells, verdictOf(c))
+		cells := append([]string{c.Role, c.Item, formatPackages(c.Mechanism), costKind(c)}, formatCost(c)...)
+		if withVerdicts {
+			cells = append(cells, limitVerdict(c))
 		}
 		t.row(cells...)
 	}
 	for _, control := range []bool{true, false} {
 		sum := m.Sum(control)
 		sum.Control = control
-		cells := append([]string{"**sum**", "", "", kindOf(sum)}, figures(sum)...)
-		if misses {
-			cells = append(cells, verdictOf(sum))
+		cells := append([]string{"**sum**", "", "", costKind(sum)}, formatCost(sum)...)
+		if withVerdicts {
+			cells = append(cells, limitVerdict(sum))
 		}
 		t.row(cells...)
 	}
 	return t.String()
 }
 
-func code(packages string) string {
+func formatPackages(packages string) string {
 	return "`" + strings.Join(strings.Split(packages, ", "), "`, `") + "`"
 }
 
-func kindOf(c Cost) string {
+func costKind(c Cost) string {
 	if c.Control {
 		return "control"
 	}
 	return "traffic"
 }
 
-func figures(c Cost) []string {
-	return []string{number(c.Messages), bytesOf(c.Bytes), percent(c.Core), bytesOf(c.Memory)}
+func formatCost(c Cost) []string {
+	return []string{formatNumber(c.Messages), formatBytes(c.Bytes), formatPercent(c.Core), formatBytes(c.Memory)}
 }
 
-// verdictOf holds a line for control against the limits of all control together.
-func verdictOf(c Cost) string {
+// limitVerdict compares one cost for control with the limits for the sum of all
+// control. It returns an empty string for traffic.
+func limitVerdict(c Cost) string {
 	if !c.Control {
 		return ""
 	}
 	core, memory, bytes := ControlLimits().Within(c)
-	var over []string
+	var exceeded []string
 	for _, l := range []struct {
 		name string
 		ok   bool
 	}{{"core", core}, {"memory", memory}, {"bytes", bytes}} {
 		if !l.ok {
-			over = append(over, l.name)
+			exceeded = append(exceeded, l.name)
 		}
 	}
-	if len(over) == 0 {
+	if len(exceeded) == 0 {
 		return "meets"
 	}
-	miss := "MISS (" + strings.Join(over, ", ") + ")"
+	miss := "MISS (" + strings.Join(exceeded, ", ") + ")"
 	if c.Remedy != "" {
 		miss += ": " + c.Remedy
 	}
@@ -139,21 +141,21 @@
 
 func sumsTable(s Slopes) string {
 	t := newTable("Size", "Design", "Instances", "Control core", "Control memory", "Control bytes/s", "Traffic core", "Traffic bytes/s", "Control within limits")
-	for _, z := range []Size{Today(), Target()} {
-		for _, d := range []Design{AsBuilt(), Changed()} {
-			for _, n := range instancesShown(z) {
-				m := Model{Slopes: s, Size: z, Design: d, N: n}
+	for _, z := range []Size{CurrentSize(), TargetSize()} {
+		for _, d := range []Design{CurrentDesign(), ProposedDesign()} {
+			for _, n := range shownInstances(z) {
+				m := Model{Slopes: s, Size: z, Design: d, Instances: n}
 				control, traffic := m.Sum(true), m.Sum(false)
 				control.Control = true
-				t.row(z.Name, d.Name, number(float64(n)), percent(control.Core), bytesOf(control.Memory*garbageFactor), bytesOf(control.Bytes),
-					percent(traffic.Core), bytesOf(traffic.Bytes), verdictOf(control))
+				t.row(z.Name, d.Name, formatNumber(float64(n)), formatPercent(control.Core), formatBytes(control.Memory*heapMultiplier), formatBytes(control.Bytes),
+					formatPercent(traffic.Core), formatBytes(traffic.Bytes), limitVerdict(control))
 			}
 		}
 	}
 	return t.String()
 }
 
-func instancesShown(z Size) []int {
+func shownInstances(z Size) []int {
 	if z.Instances > 0 {
 		return []int{z.Instances}
 	}
@@ -162,16 +164,16 @@
 
 func needsTable(s Slopes) string {
 	t := newTable("Size", "Design", "Core 3.3%", "Memory 128 MB", "Bytes 12 KB/s", "All three", "Traffic and control in one core")
-	for _, z := range []Size{Today(), Target()} {
-		for _, d := range []Design{AsBuilt(), Changed()} {
+	for _, z := range []Size{CurrentSize(), TargetSize()} {
+		for _, d := range []Design{CurrentDesign(), ProposedDesign()} {
 			need := Model{Slopes: s, Size: z, Design: d}.Needed(ControlLimits())
-			t.row(z.Name, d.Name, needed(need.Core), needed(need.Memory), needed(need.Bytes), needed(need.All), needed(need.Traffic))
+			t.row(z.Name, d.Name, formatNeeded(need.Core), formatNeeded(need.Memory), formatNeeded(need.Bytes), formatNeeded(need.All), formatNeeded(need.Traffic))
 		}
 	}
 	return t.String()
 }
 
-func needed(n int) string {
+func formatNeeded(n int) string {
 	if n == 0 {
 		return fmt.Sprintf("MISS: none up to %d", MaxInstances)
 	}
@@ -180,16 +182,16 @@
 
 func appendsTable(s Slopes) string {
 	t := newTable("Size", "Instances", "Changes/s", "Claims/s", "Handovers/s", "Jobs/s", "Progress/s", "Sum/s", "Part of the bound", "Bytes/s", "Verdict")
-	limit := ControlLimits().Append
-	for _, z := range []Size{Today(), Target()} {
-		for _, n := range instancesShown(z) {
-			a := Model{Slopes: s, Size: z, Design: AsBuilt(), N: n}.Appends()
+	limit := ControlLimits().AppendsPerSecond
+	for _, z := range []Size{CurrentSize(), TargetSize()} {
+		for _, n := range shownInstances(z) {
+			a := Model{Slopes: s, Size: z, Design: CurrentDesign(), Instances: n}.Appends()
 			verdict := "meets"
 			if a.Total() > limit {
 				verdict = "MISS"
 			}
-			t.row(z.Name, number(float64(n)), number(a.Changes), number(a.Claims), number(a.Handovers), number(a.Jobs), number(a.Progress), number(a.Total()),
-				percent(a.Total()/limit), bytesOf(a.Bytes()), verdict)
+			t.row(z.Name, formatNumber(float64(n)), formatNumber(a.Changes), formatNumber(a.Claims), formatNumber(a.Handovers), formatNumber(a.Jobs), formatNumber(a.Progress), formatNumber(a.Total()),
+				formatPercent(a.Total()/limit), formatBytes(a.Bytes()), verdict)
 		}
 	}
 	return t.String()
@@ -197,22 +199,22 @@
 
 func catchUpTable(s Slopes) string {
 	t := newTable("Size", "Design", "Instances", "Claims", "Jobs", "Entries of jobs", "Progress", "Entries of progress", "Appended within", "Read by each instance", "Read within, at 12 KB/s")
-	for _, z := range []Size{Today(), Target()} {
-		for _, d := range []Design{AsBuilt(), Changed()} {
+	for _, z := range []Size{CurrentSize(), TargetSize()} {
+		for _, d := range []Design{CurrentDesign(), ProposedDesign()} {
 			n := z.Instances
 			if n == 0 {
 				n = TargetInstances
 			}
-			c := Model{Slopes: s, Size: z, Design: d, N: n}.CatchUp(ControlLimits())
-			t.row(z.Name, d.Name, number(float64(n)), number(c.ClaimEntries), bytesOf(c.JobBytes), number(c.JobEntries), bytesOf(c.ProgressBytes), number(c.ProgressEntries),
-				number(c.AppendSeconds)+" s", bytesOf(c.ReadBytes), number(c.ReadSeconds)+" s")
+			c := Model{Slopes: s, Size: z, Design: d, Instances: n}.CatchUp(ControlLimits())
+			t.row(z.Name, d.Name, formatNumber(float64(n)), formatNumber(c.ClaimEntries), formatBytes(c.JobBytes), formatNumber(c.JobEntries), formatBytes(c.ProgressBytes), formatNumber(c.ProgressEntries),
+				formatNumber(c.AppendSeconds)+" s", formatBytes(c.ReadBytes), formatNumber(c.ReadSeconds)+" s")
 		}
 	}
 	return t.String()
 }
 
-// number writes x with three significant digits.
-func number(x float64) string {
+// formatNumber formats x with three significant digits.
+func formatNumber(x float64) string {
 	if x == 0 {
 		return "0"
 	}
@@ -227,14 +229,14 @@
 	return text
 }
 
-func percent(x float64) string { return number(x*100) + "%" }
+func formatPercent(x float64) string { return formatNumber(x*100) + "%" }
 
-func bytesOf(x float64) string {
+func formatBytes(x float64) string {
 	switch {
 	case x >= 1<<20:
-		return number(x/(1<<20)) + " MiB"
+		return formatNumber(x/(1<<20)) + " MiB"
 	case x >= 1<<10:
-		return number(x/(1<<10)) + " KiB"
+		return formatNumber(x/(1<<10)) + " KiB"
 	}
-	return number(x) + " B"
+	return formatNumber(x) + " B"
 }
--- a/internal/capacity/size.go
+++ b/internal/capacity/size.go
@@ -6,10 +6,10 @@
 	"pollenbend/internal/settings"
 )
 
-// Size is the size of a cell and of its load.
+// Size describes the size of a cell and its load.
 type Size struct {
 	Name               string
-	Instances          int // of the system; 0 where the model looks for the number
+	Instances          int // of the system; 0 if the model calculates the number
 	Workers            int
 	Teams              int
 	Zones              int
@@ -24,8 +24,8 @@
 	ReplacementsPerDay float64 // of instances, restarts included
 }
 
-// Target is the size to be reached within two years.
-func Target() Size {
+// TargetSize is the size to be reached within two years.
+func TargetSize() Size {
 	return Size{
 		Name: "target", Workers: 12000, Teams: 170, Zones: 9, Regions: 4,
 		JobsPerDay: 220000, StartsPerSecond: 2600, RunningTasks: 350000,
@@ -34,8 +34,8 @@
 	}
 }
 
-// Today is the size of one cell as it runs now.
-func Today() Size {
+// CurrentSize is the size of one cell in operation today.
+func CurrentSize() Size {
 	return Size{
 		Name: "today", Instances: 9, Workers: 48, Teams: 6, Zones: 4, Regions: 1,
 		JobsPerDay: 900, StartsPerSecond: 50, RunningTasks: 384,
@@ -44,20 +44,20 @@
 	}
 }
 
-// Limits is what one instance may spend on control.
+// Limits holds the maximum that one instance may spend on control.
 type Limits struct {
-	Core   float64 // part of one core
-	Memory float64 // bytes
-	Bytes  float64 // per second, both directions together
-	Append float64 // per second, in the whole cell
+	Core             float64 // ratio of one core
+	Memory           float64 // bytes
+	BytesPerSecond   float64 // both directions together
+	AppendsPerSecond float64 // entries appended to the log by the whole cell
 }
 
-// ControlLimits returns the limits that the size sets.
+// ControlLimits returns the limits for the control of one instance.
 func ControlLimits() Limits {
-	return Limits{Core: 0.033, Memory: 128 << 20, Bytes: 12 << 10, Append: 300}
+	return Limits{Core: 0.033, Memory: 128 << 20, BytesPerSecond: 12 << 10, AppendsPerSecond: 300}
 }
 
-// Rates of the node's own loops, per second.
+// Rates of the node's loops, per second.
 const (
 	ticksPerSecond    = 50
 	listingsPerSecond = 0.5
@@ -65,25 +65,26 @@
 	logPollsPerSecond = 1
 )
 
-// Parts of a day in seconds, and how much busier the busiest hour is.
+// Lengths of a day and an hour in seconds, and the ratio of the rates in the busiest
+// hour to their mean over a day.
 const (
-	secondsPerDay  = 24 * 60 * 60
-	secondsPerHour = 60 * 60
-	peakToMean     = 5
+	secondsPerDay   = 24 * 60 * 60
+	secondsPerHour  = 60 * 60
+	peakToMeanRatio = 5
 )
 
-// Overheads of packets, in bytes.
+// Sizes of headers and payloads, in bytes.
 const (
-	ipUDPHeader    = 28
-	ipTCPHeader    = 40
-	frameHeader    = 5
-	datagramBody   = 1200
-	segmentBody    = 1448
-	messagePayload = 256 // of requests, tasks and answers
-	pingBodies     = 26  // of a ping and its pong, frame headers included
+	ipUDPHeaderBytes     = 28
+	ipTCPHeaderBytes     = 40
+	frameHeaderBytes     = 5
+	maxDatagramBodyBytes = 1200
+	maxSegmentBodyBytes  = 1448
+	messagePayloadBytes  = 256 // of requests, tasks and answers
+	pingPayloadBytes     = 26  // of a ping and its pong, including frame headers
 )
 
-// Periods are the periods of the protocols, from the default settings.
+// Periods holds the time constants of the protocols.
 type Periods struct {
 	Heartbeat   time.Duration
 	DeadAfter   time.Duration
@@ -99,10 +100,10 @@
 		Heartbeat:   s.Timing.Heartbeat.Duration,
 		DeadAfter:   s.Timing.DeadAfter.Duration,
 		WorkerLease: s.Timing.WorkerLease.Duration,
-		RenewWait:   s.Timing.WorkerLease.Duration / renewParts,
+		RenewWait:   s.Timing.WorkerLease.Duration / renewalsPerLease,
 		Retention:   s.Limits.Retention.Duration,
 	}
 }
 
-// renewParts is the number of renewals in one worker lease.
-const renewParts = 4
+// renewalsPerLease is the number of renewals during one worker lease.
+const renewalsPerLease = 4
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -8,22 +8,22 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Slopes holds everything measured. The names of the keys are those of the
-// metrics that the benchmarks report; nanoseconds are of processor time and
-// bytes are of memory or on the wire, as Line.Unit says.
+// Slopes holds all measurements. The keys are the names of the metrics that the
+// benchmarks report. Line.Unit is the unit of the values: nanoseconds of processor
+// time, or bytes of memory or on the wire.
 type Slopes struct {
-	Command   string         `toml:"command"` // that measured the lines
+	Command   string         `toml:"command"` // command that measured the lines
 	Machine   string         `toml:"machine"`
 	Transport TransportCosts `toml:"transport"`
 	Lines     Lines          `toml:"lines"`
 }
 
-// TransportCosts holds what the benchmarks of internal/transport report.
+// TransportCosts holds the results of the benchmarks of internal/transport.
 type TransportCosts struct {
 	Command         string  `toml:"command"`
 	SendNS          float64 `toml:"send_ns"`           // one payload, both ends together
-	PingBytes       float64 `toml:"ping_bytes"`        // a ping, its pong and their acknowledgment, without IP and UDP headers
-	PingDatagrams   float64 `toml:"ping_datagrams"`    // that they take
+	PingBytes       float64 `toml:"ping_bytes"`        // a ping, its pong and their acknowledgment, excluding IP and UDP headers
+	PingDatagrams   float64 `toml:"ping_datagrams"`    // datagrams of a ping, its pong and their acknowledgment
 	ConnectionBytes float64 `toml:"connection_memory"` // one connection, both ends together
 }
 
@@ -39,43 +39,43 @@
 	MemberMemoryByTeam      Line `toml:"member_memory_by_team"`
 	TickByInstance          Line `toml:"tick_ns_by_instance"`
 
-	TickByWorker     Line `toml:"tick_ns_by_held_worker"`
-	TickByFinished   Line `toml:"tick_ns_by_finished_task"`
-	RenewalBytes     Line `toml:"renewal_bytes_by_outcome"`
-	RenewalTake      Line `toml:"renewal_take_ns_by_outcome"`
-	ExchangeNS       Line `toml:"exchange_ns_by_outcome"`
-	StartBytes       Line `toml:"start_bytes_by_payload_byte"`
-	HeldMemory       Line `toml:"held_worker_memory"`
-	ConnectionMemory Line `toml:"worker_connection_memory"`
-	RunningMemory    Line `toml:"running_task_memory"`
+	TickByWorker      Line `toml:"tick_ns_by_held_worker"`
+	TickByFinished    Line `toml:"tick_ns_by_finished_task"`
+	RenewalBytes      Line `toml:"renewal_bytes_by_outcome"`
+	RenewalTake       Line `toml:"renewal_take_ns_by_outcome"`
+	ExchangeNS        Line `toml:"exchange_ns_by_outcome"`
+	StartBytes        Line `toml:"start_bytes_by_payload_byte"`
+	HeldWorkerMemory  Line `toml:"held_worker_memory"`
+	ConnectionMemory  Line `toml:"worker_connection_memory"`
+	RunningTaskMemory Line `toml:"running_task_memory"`
 
-	CallerBytes      Line `toml:"caller_bytes_by_payload_byte"`
-	CallerNS         Line `toml:"caller_ns_by_payload_byte"`
-	CallerMemory     Line `toml:"caller_memory"`
-	TickByOpen       Line `toml:"tick_ns_by_open_request"`
-	CallByRemembered Line `toml:"call_ns_by_remembered_request"`
-	CallByWorker     Line `toml:"call_ns_by_held_worker"`
-	FinishedMemory   Line `toml:"finished_request_memory"`
-	WaitingMemory    Line `toml:"waiting_request_memory"`
-	CallPeerBytes    Line `toml:"call_peer_bytes_by_payload_byte"`
-	CallPeerNS       Line `toml:"call_peer_ns_by_payload_byte"`
-	TickByWaiting    Line `toml:"tick_ns_by_waiting_request"`
+	CallerBytes           Line `toml:"caller_bytes_by_payload_byte"`
+	CallerNS              Line `toml:"caller_ns_by_payload_byte"`
+	CallerMemory          Line `toml:"caller_memory"`
+	TickByOpen            Line `toml:"tick_ns_by_open_request"`
+	CallByRemembered      Line `toml:"call_ns_by_remembered_request"`
+	CallByWorker          Line `toml:"call_ns_by_held_worker"`
+	FinishedRequestMemory Line `toml:"finished_request_memory"`
+	WaitingRequestMemory  Line `toml:"waiting_request_memory"`
+	CallPeerBytes         Line `toml:"call_peer_bytes_by_payload_byte"`
+	CallPeerNS            Line `toml:"call_peer_ns_by_payload_byte"`
+	TickByWaiting         Line `toml:"tick_ns_by_waiting_request"`
 
 	PlanByWorker   Line `toml:"plan_ns_by_listed_worker"`
 	PlanByInstance Line `toml:"plan_ns_by_instance"`
 	PlanByTeam     Line `toml:"plan_scan_ns_by_team"`
 	GrantBytes     Line `toml:"grant_bytes_by_team_name_byte"`
 
-	ClaimBytes   Line `toml:"claim_bytes_by_shard"`
-	MoveByTask   Line `toml:"move_ns_by_running_task"`
-	ListingBytes Line `toml:"listing_bytes_by_worker"`
-	ListingTake  Line `toml:"listing_take_ns_by_worker"`
-	RosterMemory Line `toml:"listed_worker_memory"`
+	ClaimBytes         Line `toml:"claim_bytes_by_shard"`
+	MoveByTask         Line `toml:"move_ns_by_running_task"`
+	ListingBytes       Line `toml:"listing_bytes_by_worker"`
+	ListingTake        Line `toml:"listing_take_ns_by_worker"`
+	ListedWorkerMemory Line `toml:"listed_worker_memory"`
 
 	TakeoverByTask Line `toml:"takeover_ns_by_running_task"`
 	HandoverBytes  Line `toml:"handover_bytes_by_request"`
 
-	TimeLineMemory Line `toml:"time_line_memory"`
+	TimelineMemory Line `toml:"time_line_memory"`
 
 	ChangeBytes       Line `toml:"change_bytes_by_object"`
 	ChangeTake        Line `toml:"change_take_ns_by_team"`
@@ -91,8 +91,8 @@
 	TickByJob         Line `toml:"tick_ns_by_job"`
 }
 
-// Read reads slopes from a TOML file. It returns an error when the file has a
-// key that Slopes lacks or a line without two sizes.
+// Read reads slopes from a TOML file. It returns an error if the file has an unknown
+// key or a line with fewer than two sizes or without a value for each size.
 func Read(path string) (Slopes, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return Parse(data)
 }
 
-// Parse reads slopes as Read does.
+// Parse parses slopes in TOML. It returns the same errors as Read.
 func Parse(data []byte) (Slopes, error) {
 	var s Slopes
 	d := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
@@ -116,7 +116,7 @@
 	return s, nil
 }
 
-// Marshal writes the slopes as Parse reads them.
+// Marshal returns the slopes in the TOML format that Parse reads.
 func (s Slopes) Marshal() ([]byte, error) {
 	data, err := toml.Marshal(s)
 	return data, errors.Wrap(err, "write slopes")
