--- a/internal/capacity/appends.go
+++ b/internal/capacity/appends.go
@@ -113,8 +113,8 @@
 	jobs := a.Jobs * secondsPerHour
 	c.JobBytes = jobs * l.JobEntryBytes.Slope()
 	c.JobEntries = max(math.Ceil(jobs/maxRecordsPerEntry), m.instances())
-	spare := max(limits.AppendsPerSecond-a.Total(), 1)
-	c.AppendSeconds = (c.ClaimEntries + c.JobEntries + c.ProgressEntries) / spare
+	freeAppendsPerSecond := max(limits.AppendsPerSecond-a.Total(), 1)
+	c.AppendSeconds = (c.ClaimEntries + c.JobEntries + c.ProgressEntries) / freeAppendsPerSecond
 	c.ReadBytes = (c.ProgressBytes + c.JobBytes + c.ClaimEntries*a.claimBytes) * l.LogReadBytes.Slope()
 	if !m.Design.ReadsWholeLog {
 		c.ReadBytes /= m.instances()
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -8,15 +8,15 @@
 
 // Cost is one item of what an instance spends.
 type Cost struct {
-	Role      string
-	Item      string
-	Mechanism string // packages that cause it
-	Control   bool   // whether it counts as control, which has limits, or as traffic
-	Messages  float64
-	Bytes     float64 // per second, both directions
-	Core      float64 // ratio of one core
-	Memory    float64 // bytes
-	Remedy    string  // change that would reduce it
+	Role     string
+	Item     string
+	Packages string  // packages that cause it
+	Control  bool    // whether it counts as control, which has limits, or as traffic
+	Messages float64 // per second, both directions
+	Bytes    float64 // per second, both directions
+	Core     float64 // ratio of one core
+	Memory   float64 // bytes
+	Remedy   string  // change that would reduce it
 }
 
 // Model calculates the costs for one size, design and number of instances.
@@ -101,10 +101,10 @@
 	l := m.Slopes.Lines
 	open := m.Size.OpenCallers / m.instances()
 	return []Cost{{
-		Role: "taking callers", Item: "tick over open requests", Mechanism: "internal/service/gateway", Control: true,
+		Role: "taking callers", Item: "tick over open requests", Packages: "internal/service/gateway", Control: true,
 		Core: ticksPerSecond * open * l.TickByOpen.Slope() * nano,
 	}, {
-		Role: "taking callers", Item: "callers' exchanges", Mechanism: "internal/httpapi, internal/service/gateway",
+		Role: "taking callers", Item: "callers' exchanges", Packages: "internal/httpapi, internal/service/gateway",
 		Messages: 2 * m.startsPerInstance(),
 		Bytes:    m.startsPerInstance() * exchangeBytes(l.CallerBytes.At(messagePayloadBytes)),
 		Core:     m.startsPerInstance() * l.CallerNS.At(messagePayloadBytes) * nano,
@@ -118,18 +118,18 @@
 	messages := float64(messagesPerCall)
 	payload := l.CallPeerBytes.At(messagePayloadBytes)
 	calls := Cost{
-		Role: "request shards", Item: "calls: forward, dispatch, two states, reply", Mechanism: "internal/service/requests",
+		Role: "request shards", Item: "calls: forward, dispatch, two states, reply", Packages: "internal/service/requests",
 		Messages: 2 * messages * hops,
 		Bytes:    2 * hops * (messages*m.messageBytes(0) + payload),
 		Core:     (hops*(l.CallPeerNS.At(messagePayloadBytes)+messages*m.Slopes.Transport.SendNS) + m.startsPerInstance()*(l.CallByWorker.At(m.workersPerInstance())+l.CallByRemembered.Slope()*m.finishedRequests())) * nano,
 	}
 	remembered := Cost{
-		Role: "request shards", Item: "finished requests and outcomes, kept for the retention", Mechanism: "internal/service/requests, ledger",
+		Role: "request shards", Item: "finished requests and outcomes, kept for the retention", Packages: "internal/service/requests, ledger",
 		Control: true, Memory: m.finishedRequests() * l.FinishedRequestMemory.Slope(),
 		Remedy: "keep a hash and a verdict of an answered request and drop its payload; expire from a queue in order of time",
 	}
 	waiting := Cost{
-		Role: "request shards", Item: "waiting requests", Mechanism: "internal/service/requests, gateway",
+		Role: "request shards", Item: "waiting requests", Packages: "internal/service/requests, gateway",
 		Control: true, Memory: m.waitingRequests() * l.WaitingRequestMemory.Slope(),
 		Remedy: "deadlines in a heap, in place of the scans of each tick",
 	}
@@ -149,7 +149,7 @@
 	known := m.retainedJobs()
 	tasks := m.Size.StartsPerSecond * m.Design.Periods.Retention.Seconds()
 	c := Cost{
-		Role: "request shards", Item: "jobs accepted for later, folded", Mechanism: "internal/service/jobs", Control: true,
+		Role: "request shards", Item: "jobs accepted for later, folded", Packages: "internal/service/jobs", Control: true,
 		Remedy: "fold only the jobs of the shards that are owned here; ended tasks as ranges of indexes",
 	}
 	if !m.Design.ReadsWholeLog {
@@ -193,12 +193,12 @@
 	grants := 2 * m.Design.GrantsPerSecond * m.teams() * m.remoteProbability()
 	return []Cost{
 		{
-			Role: "team shards", Item: "plans of ceilings", Mechanism: "internal/service/limits", Control: true,
+			Role: "team shards", Item: "plans of ceilings", Packages: "internal/service/limits", Control: true,
 			Core:   m.Design.PlansPerSecond * (m.teams()/m.instances()*planCost + l.PlanByTeam.At(m.teams())) * nano,
 			Remedy: "keep the count of uncovered slots and the list of limited teams up to date with their changes; plan a team only when its demand changed",
 		},
 		{
-			Role: "team shards", Item: "grants, if every ceiling changes at each plan", Mechanism: "internal/service/limits", Control: true,
+			Role: "team shards", Item: "grants, if every ceiling changes at each plan", Packages: "internal/service/limits", Control: true,
 			Messages: grants, Bytes: grants * m.messageBytes(l.GrantBytes.Values[0]),
 			Core:   grants / 2 * m.Slopes.Transport.SendNS * nano,
 			Remedy: "step ceilings in parts of a tenth with hysteresis, and carry all of a receiver's grants in one message",
@@ -213,7 +213,7 @@
 	idle := m.workersPerInstance() / m.Design.Periods.RenewWait.Seconds()
 	return []Cost{
 		{
-			Role: "worker holders", Item: "renewals of leases", Mechanism: "internal/service/ledger, internal/platform/httpclient", Control: true,
+			Role: "worker holders", Item: "renewals of leases", Packages: "internal/service/ledger, internal/platform/httpclient", Control: true,
 			Messages: 2 * idle,
 			Bytes:    idle * exchangeBytes(l.RenewalBytes.Intercept()),
 			Core:     idle * (l.ExchangeNS.Intercept() + l.RenewalTake.Intercept()) * nano,
@@ -221,17 +221,17 @@
 			Remedy:   "longer leases, with a wait of half of the lease; one renewal for the workers of a rack",
 		},
 		{
-			Role: "worker holders", Item: "tick over the held workers", Mechanism: "internal/service/ledger", Control: true,
+			Role: "worker holders", Item: "tick over the held workers", Packages: "internal/service/ledger", Control: true,
 			Core:   ticksPerSecond * m.workersPerInstance() * l.TickByWorker.Slope() * nano * m.scanMultiplier(),
 			Remedy: "due times in a heap; free resources and coverage kept up to date",
 		},
 		{
-			Role: "worker holders", Item: "running tasks", Mechanism: "internal/service/ledger, requests", Control: true,
+			Role: "worker holders", Item: "running tasks", Packages: "internal/service/ledger, requests", Control: true,
 			Memory: m.Size.RunningTasks / m.instances() * l.RunningTaskMemory.Slope(),
 			Remedy: "keep a task's payload at the worker only",
 		},
 		{
-			Role: "worker holders", Item: "starts and outcomes", Mechanism: "internal/service/ledger, internal/platform/httpclient",
+			Role: "worker holders", Item: "starts and outcomes", Packages: "internal/service/ledger, internal/platform/httpclient",
 			Messages: 4 * m.startsPerInstance(),
 			Bytes:    m.startsPerInstance()*exchangeBytes(l.StartBytes.At(messagePayloadBytes)) + (renewals-idle)*exchangeBytes(l.RenewalBytes.At(1)),
 			Core:     m.startsPerInstance() * (2*l.ExchangeNS.At(1) + l.RenewalTake.At(1)) * nano,
@@ -256,14 +256,14 @@
 	encode := l.HeartbeatEncodeByMember.At(members) + lines*l.HeartbeatEncodeByTeam.Slope()
 	take := l.HeartbeatTakeByMember.At(members) + lines*l.HeartbeatTakeByTeam.Slope()
 	costs := []Cost{{
-		Role: "membership", Item: "heartbeats with a line for each team", Mechanism: "internal/service/membership", Control: true,
+		Role: "membership", Item: "heartbeats with a line for each team", Packages: "internal/service/membership", Control: true,
 		Messages: 2 * rate, Bytes: 2 * rate * m.messageBytes(size),
 		Core:   rate * (encode + take + t.SendNS) * nano,
 		Memory: m.Design.Peers(m.Instances) * l.MemberMemoryByTeam.At(m.teams()),
 		Remedy: "probe a few members in turn and pass news on (SWIM) within a zone, one voice of each zone between zones; send only the team lines that changed",
 	}}
 	pings := Cost{
-		Role: "membership", Item: "connections and their pings", Mechanism: "internal/transport", Control: true,
+		Role: "membership", Item: "connections and their pings", Packages: "internal/transport", Control: true,
 		Memory: m.Design.Peers(m.Instances) * t.ConnectionBytes,
 		Remedy: "no pings where heartbeats pass; connections to the members of the own zone, others on demand",
 	}
@@ -274,11 +274,11 @@
 		pings.Core = exchanges * t.SendNS * nano
 	}
 	return append(costs, pings, Cost{
-		Role: "membership", Item: "filling a heartbeat and weighing shares", Mechanism: "internal/service/membership, limits, requests", Control: true,
+		Role: "membership", Item: "filling a heartbeat and weighing shares", Packages: "internal/service/membership, limits, requests", Control: true,
 		Core:   l.HeartbeatFillByLine.At(m.shareLines()) / m.Design.Periods.Heartbeat.Seconds() * nano,
 		Remedy: "one pass over the members' lines for all teams, in place of one for each team",
 	}, Cost{
-		Role: "membership", Item: "tick over members and shards", Mechanism: "internal/service/membership, ownership", Control: true,
+		Role: "membership", Item: "tick over members and shards", Packages: "internal/service/membership, ownership", Control: true,
 		Core:   ticksPerSecond * l.TickByInstance.At(members) * nano,
 		Remedy: "look for orphans only after a change of members or shards",
 	})
@@ -295,7 +295,7 @@
 func (m Model) ownershipCosts() []Cost {
 	l := m.Slopes.Lines
 	list := Cost{
-		Role: "ownership", Item: "the instance list", Mechanism: "internal/node, internal/platform/httpclient", Control: true,
+		Role: "ownership", Item: "the instance list", Packages: "internal/node, internal/platform/httpclient", Control: true,
 		Messages: 2 * listingsPerSecond,
 		Bytes:    listingsPerSecond * exchangeBytes(l.LogReadBytes.Intercept()),
 		Core:     listingsPerSecond * l.ExchangeNS.Intercept() * nano,
@@ -310,10 +310,10 @@
 	moves := m.shardMovesPerSecond() * m.Size.RunningTasks / m.instances() * l.MoveByTask.Slope() * nano * m.scanMultiplier()
 	memory := 2 * m.replacementsPerSecond() * 2 * m.shardsPerInstance() / m.instances() * m.handoverBytesPerShard()
 	return []Cost{list, {
-		Role: "ownership", Item: "folds of moved shards", Mechanism: "internal/service/ledger", Control: true,
+		Role: "ownership", Item: "folds of moved shards", Packages: "internal/service/ledger", Control: true,
 		Core: moves, Remedy: "an index of tasks by request shard, in place of the sort of all tasks for each moved shard",
 	}, {
-		Role: "ownership", Item: "memory handed over by replaced instances", Mechanism: "internal/service/handover", Control: true,
+		Role: "ownership", Item: "memory handed over by replaced instances", Packages: "internal/service/handover", Control: true,
 		Bytes: memory, Remedy: "hand over no payloads of answered requests",
 	}}
 }
@@ -343,19 +343,19 @@
 	polls := max(logPollsPerSecond, min(entries, maxPollsPerSecond))
 	return []Cost{
 		{
-			Role: "configuration", Item: "reading snapshots in the log", Mechanism: "internal/service/snapshots", Control: true,
+			Role: "configuration", Item: "reading snapshots in the log", Packages: "internal/service/snapshots", Control: true,
 			Bytes:  snapshot * l.LogReadBytes.Slope() / m.snapshotIntervalSeconds(),
 			Remedy: "snapshots by shard in streams of their own, read only by a new owner",
 		},
 		{
-			Role: "configuration", Item: "reading the log at the peak", Mechanism: "internal/node, internal/core", Control: true,
+			Role: "configuration", Item: "reading the log at the peak", Packages: "internal/node, internal/core", Control: true,
 			Messages: 2 * polls,
 			Bytes:    polls*exchangeBytes(l.LogReadBytes.Intercept()) + bytes*l.LogReadBytes.Slope(),
 			Core:     (polls*l.ExchangeNS.Intercept() + appends.Changes*l.ChangeTake.At(m.teams()) + m.appliedTasksPerSecond()*l.ProgressTake.Slope()) * nano,
 			Remedy:   "a stream for each region's claims and jobs and one for declarations, and a wait before the next read so that one poll brings many entries",
 		},
 		{
-			Role: "configuration", Item: "declarations in force", Mechanism: "internal/declare, internal/service/config", Control: true,
+			Role: "configuration", Item: "declarations in force", Packages: "internal/declare, internal/service/config", Control: true,
 			Memory: l.DeclarationMemory.At(m.teams()),
 		},
 	}
@@ -389,7 +389,7 @@
 // events, which is read only on demand.
 func (m Model) timelineCosts() []Cost {
 	return []Cost{{
-		Role: "time line", Item: "ring of the latest events", Mechanism: "internal/event", Control: true,
+		Role: "time line", Item: "ring of the latest events", Packages: "internal/event", Control: true,
 		Memory: maxTimelineEvents * m.Slopes.Lines.TimelineMemory.Slope(),
 	}}
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidSlopes(t *testing.T) {
 	_, err := Parse([]byte("[lines.heartbeat_bytes]\n"))
 	require.Error(t, err, "unknown line")
 	_, err = Parse([]byte("command = 'x'\n"))
--- a/internal/capacity/record_test.go
+++ b/internal/capacity/record_test.go
@@ -126,9 +126,9 @@
 }
 
 func elapsed(op func()) time.Duration {
-	began := time.Now()
+	startTime := time.Now()
 	op()
-	return time.Since(began)
+	return time.Since(startTime)
 }
 
 func median(times []time.Duration) float64 {
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -80,7 +80,7 @@
 	}
 	t := newTable(heads...)
 	for _, c := range m.Costs() {
-		cells := append([]string{c.Role, c.Item, formatPackages(c.Mechanism), costKind(c)}, formatCost(c)...)
+		cells := append([]string{c.Role, c.Item, formatPackages(c.Packages), costKind(c)}, formatCost(c)...)
 		if withVerdicts {
 			cells = append(cells, limitVerdict(c))
 		}
--- a/internal/replay/drive_test.go
+++ b/internal/replay/drive_test.go
@@ -140,8 +140,8 @@
 	}
 }
 
-func (d *driver) finishRenewal(w *testWorker, h openRenewal, reply platform.RenewReply) {
-	d.step(event.RenewDone{Worker: w.Worker().ID, Lease: h.request.Lease, Full: h.request.Full, SentAt: h.sentAt, Reply: reply})
+func (d *driver) finishRenewal(w *testWorker, r openRenewal, reply platform.RenewReply) {
+	d.step(event.RenewDone{Worker: w.Worker().ID, Lease: r.request.Lease, Full: r.request.Full, SentAt: r.sentAt, Reply: reply})
 }
 
 // runUntil advances the virtual time to end.
@@ -167,11 +167,11 @@
 		w.Advance(d.wallTime())
 		open := w.openRenewals
 		w.openRenewals = nil
-		for _, h := range open {
-			if w.HasEvent(h.request.Since) || d.now >= h.sentAt+h.request.Wait {
-				d.finishRenewal(w, h, w.Report(d.wallTime(), h.request))
+		for _, r := range open {
+			if w.HasEvent(r.request.Since) || d.now >= r.sentAt+r.request.Wait {
+				d.finishRenewal(w, r, w.Report(d.wallTime(), r.request))
 			} else {
-				w.openRenewals = append(w.openRenewals, h)
+				w.openRenewals = append(w.openRenewals, r)
 			}
 		}
 	}
--- a/internal/testcell/cell.go
+++ b/internal/testcell/cell.go
@@ -148,13 +148,13 @@
 
 // Advance runs the cell for d of virtual time.
 func (c *Cell) Advance(d time.Duration) {
-	until := c.now + d
-	for len(c.timers) > 0 && c.timers[0].at <= until {
+	end := c.now + d
+	for len(c.timers) > 0 && c.timers[0].at <= end {
 		t := heap.Pop(&c.timers).(timer)
 		c.now = t.at
 		t.run()
 	}
-	c.now = until
+	c.now = end
 }
 
 // randomDuration returns a uniformly distributed duration from minimum to maximum.
--- a/internal/testcell/check.go
+++ b/internal/testcell/check.go
@@ -123,7 +123,7 @@
 // ended with the worker's incarnation, and nothing remembers it.
 func (c *Cell) checkSingleRun(events []standin.Event) {
 	started := make(map[model.TaskID]standin.Event)
-	running := make(map[model.TaskID]model.TaskID) // by base
+	runningTasks := make(map[model.TaskID]model.TaskID) // by base
 	runs := make(map[model.TaskID]int)
 	notRepeatable := c.notRepeatable()
 	for _, e := range events {
@@ -135,16 +135,16 @@
 			if startedBefore && (notRepeatable[base] || !restartedBetween(events, first, e.At)) {
 				c.violateAt(at, PromiseOnePlace, "%s started on %s and on %s", e.Task, first.Worker, e.Worker)
 			}
-			if other, isRunning := running[base]; isRunning {
+			if other, isRunning := runningTasks[base]; isRunning {
 				c.violateAt(at, PromiseOnePlace, "%s starts while %s runs", e.Task, other)
 			}
-			started[e.Task], running[base] = e, e.Task
+			started[e.Task], runningTasks[base] = e, e.Task
 			runs[base]++
 			if runs[base] > 1 && notRepeatable[base] {
 				c.violateAt(at, PromiseOnce, "%s runs for the %d. time", base, runs[base])
 			}
 		case standin.EventEnd:
-			delete(running, base)
+			delete(runningTasks, base)
 		}
 	}
 }
@@ -173,7 +173,7 @@
 type configVersion struct {
 	at      time.Duration
 	version uint64
-	teams   map[model.TeamID]int64 // limits, 0 for none
+	limits  map[model.TeamID]int64 // 0 for none
 	keys    map[string]model.Key   // by hash of the secret
 }
 
@@ -195,10 +195,10 @@
 }
 
 func newConfigVersion(state *declare.State, at time.Duration) configVersion {
-	v := configVersion{at: at, version: state.Version(), teams: make(map[model.TeamID]int64), keys: make(map[string]model.Key)}
+	v := configVersion{at: at, version: state.Version(), limits: make(map[model.TeamID]int64), keys: make(map[string]model.Key)}
 	d := state.Declarations()
 	for _, t := range d.Teams {
-		v.teams[t.Name] = t.Limit
+		v.limits[t.Name] = t.Limit
 	}
 	for _, k := range d.Keys {
 		v.keys[k.SHA256] = k
@@ -214,7 +214,7 @@
 		if v.at > until || i+1 < len(history) && history[i+1].at <= from {
 			continue
 		}
-		limit := v.teams[team]
+		limit := v.limits[team]
 		if limit == 0 {
 			return 0
 		}
--- a/internal/testcell/instance.go
+++ b/internal/testcell/instance.go
@@ -16,24 +16,24 @@
 // instance is one instance of the system: a core with the input and output that
 // internal/node does in production.
 type instance struct {
-	cell      *Cell
-	info      platform.Instance
-	core      *core.Core
-	config    configView
-	startTime time.Duration
-	drift     float64 // relative drift of its clock against the cell's
-	alive     bool
-	paused    bool
-	deferred  []func() // deliveries that wait for the end of a pause
+	cell               *Cell
+	info               platform.Instance
+	core               *core.Core
+	config             configView
+	startTime          time.Duration
+	clockDriftRatio    float64 // relative drift of its clock against the cell's
+	alive              bool
+	paused             bool
+	deferredDeliveries []func() // deliveries that wait for the end of a pause
 
-	appends        []event.Append
-	appending      bool
-	nextRead       uint64
-	availableSince time.Duration // since when it runs without a pause and can reach the log
-	lastRead       time.Duration
-	readSentAt     time.Duration // of the open read, on the instance's clock
-	reading        bool
-	maxVersion     uint64 // highest configuration version of this incarnation
+	pendingAppends   []event.Append
+	appendInProgress bool
+	nextRead         uint64
+	availableSince   time.Duration // since when it runs without a pause and can reach the log
+	lastReadEnd      time.Duration
+	readSentAt       time.Duration // of the open read, on the instance's clock
+	readInProgress   bool
+	maxVersion       uint64 // highest configuration version of this incarnation
 }
 
 type configView interface {
@@ -41,13 +41,13 @@
 }
 
 const (
-	tickInterval = 50 * time.Millisecond
-	listInterval = 2 * time.Second
-	readInterval = 20 * time.Millisecond
-	readWait     = time.Second
-	callTimeout  = 2 * time.Second
-	readLimit    = 512
-	maxDrift     = 0.005
+	tickInterval       = 50 * time.Millisecond
+	listInterval       = 2 * time.Second
+	readInterval       = 20 * time.Millisecond
+	maxReadWait        = time.Second
+	callTimeout        = 2 * time.Second
+	maxEntriesPerRead  = 512
+	maxClockDriftRatio = 0.005
 )
 
 func (in *instance) owner() wire.Owner {
@@ -55,7 +55,7 @@
 }
 
 func (in *instance) clockTime() time.Duration {
-	return time.Duration(float64(in.cell.now-in.startTime) * (1 + in.drift))
+	return time.Duration(float64(in.cell.now-in.startTime) * (1 + in.clockDriftRatio))
 }
 
 func (in *instance) running() bool { return in.alive && !in.paused }
@@ -68,7 +68,7 @@
 		switch {
 		case !in.alive || in.info.Incarnation != incarnation:
 		case in.paused:
-			in.deferred = append(in.deferred, f)
+			in.deferredDeliveries = append(in.deferredDeliveries, f)
 		default:
 			f()
 		}
@@ -118,7 +118,7 @@
 func (in *instance) execute(a event.Action) {
 	switch a := a.(type) {
 	case event.Append:
-		in.appends = append(in.appends, a)
+		in.pendingAppends = append(in.pendingAppends, a)
 		in.cell.appendNext(in)
 	case event.Send:
 		in.cell.send(in, a)
@@ -139,11 +139,11 @@
 	in := c.instances[id]
 	c.Kill(id)
 	in.info.Incarnation++
-	in.alive, in.paused, in.deferred = true, false, nil
+	in.alive, in.paused, in.deferredDeliveries = true, false, nil
 	in.startTime, in.availableSince = c.now, c.now
-	in.drift = (2*c.rng.Float64() - 1) * maxDrift
-	in.appends, in.appending, in.reading = nil, false, false
-	in.nextRead, in.lastRead, in.readSentAt, in.maxVersion = 1, c.now, 0, 0
+	in.clockDriftRatio = (2*c.rng.Float64() - 1) * maxClockDriftRatio
+	in.pendingAppends, in.appendInProgress, in.readInProgress = nil, false, false
+	in.nextRead, in.lastReadEnd, in.readSentAt, in.maxVersion = 1, c.now, 0, 0
 	var err error
 	in.core, err = core.New(core.Options{Self: in.info, Timing: c.options.Timing, Seed: c.rng.Uint64()})
 	if err != nil {
@@ -168,7 +168,7 @@
 	if !in.alive {
 		return
 	}
-	in.alive, in.paused, in.deferred = false, false, nil
+	in.alive, in.paused, in.deferredDeliveries = false, false, nil
 	c.list.RemoveInstance(c.wallTime(), id)
 	for _, l := range c.linksOf(id) {
 		c.disconnectLater(l, c.randomDuration(0, c.options.Timing.DeadAfter))
@@ -199,8 +199,8 @@
 		return
 	}
 	in.paused, in.availableSince = false, c.now
-	deferred := in.deferred
-	in.deferred = nil
+	deferred := in.deferredDeliveries
+	in.deferredDeliveries = nil
 	if c.rng.IntN(2) == 0 {
 		in.step(event.Tick{})
 	}
@@ -231,28 +231,28 @@
 // appendNext appends the pending records of an instance as one entry, unless an
 // append is in progress.
 func (c *Cell) appendNext(in *instance) {
-	if in.appending || len(in.appends) == 0 {
+	if in.appendInProgress || len(in.pendingAppends) == 0 {
 		return
 	}
-	in.appending = true
-	batch := in.appends
-	in.appends = nil
+	in.appendInProgress = true
+	batch := in.pendingAppends
+	in.pendingAppends = nil
 	incarnation := in.info.Incarnation
 	answered := false
-	finish := func(d time.Duration, offset uint64, v verdict.Verdict) {
+	reportLater := func(d time.Duration, offset uint64, v verdict.Verdict) {
 		in.deliver(d, func() {
 			if answered {
 				return
 			}
 			answered = true
-			in.appending = false
+			in.appendInProgress = false
 			for _, a := range batch {
 				in.step(event.AppendDone{ID: a.ID, Offset: offset, Verdict: v})
 			}
 			c.appendNext(in)
 		})
 	}
-	finish(callTimeout, 0, verdict.MayHaveRun)
+	reportLater(callTimeout, 0, verdict.MayHaveRun)
 	c.runAfter(c.randomLatency(), func() {
 		if in.info.Incarnation != incarnation {
 			return
@@ -265,7 +265,7 @@
 			records = append(records, a.Records...)
 		}
 		offset, err := c.appendRecords(records)
-		finish(c.randomLatency()+c.log.Faults().Slow, offset, verdict.Of(err))
+		reportLater(c.randomLatency()+c.log.Faults().Slow, offset, verdict.Of(err))
 	})
 }
 
@@ -274,9 +274,9 @@
 	if err != nil {
 		panic(err)
 	}
-	before := c.nextOffset()
+	nextBefore := c.nextOffset()
 	offset, err := c.log.Append(c.wallTime(), stream, data)
-	if next := c.nextOffset(); next > before {
+	if next := c.nextOffset(); next > nextBefore {
 		c.logEntries = append(c.logEntries, logEntry{offset: next - 1, at: c.now, records: records})
 	}
 	return offset, err
@@ -286,9 +286,9 @@
 // an append may be lost. It reads the log also while it is down.
 func (c *Cell) nextOffset() uint64 {
 	f := c.log.Faults()
-	up := f
-	up.Down = false
-	c.log.SetFaults(c.wallTime(), up)
+	reachable := f
+	reachable.Down = false
+	c.log.SetFaults(c.wallTime(), reachable)
 	batch, err := c.log.Read(stream, 1<<62, 1)
 	if err != nil {
 		panic(err)
@@ -300,24 +300,24 @@
 // readLog answers an instance's read when there are new entries or when the read
 // has waited for readWait.
 func (c *Cell) readLog(in *instance) {
-	if c.logUnreachable[in.info.ID] || in.reading {
+	if c.logUnreachable[in.info.ID] || in.readInProgress {
 		return
 	}
-	batch, err := c.log.Read(stream, in.nextRead, readLimit)
+	batch, err := c.log.Read(stream, in.nextRead, maxEntriesPerRead)
 	if err != nil {
 		return
 	}
-	if len(batch.Entries) == 0 && c.now-in.lastRead < readWait {
+	if len(batch.Entries) == 0 && c.now-in.lastReadEnd < maxReadWait {
 		return
 	}
 	slow := c.log.Faults().Slow
 	sentAt := in.readSentAt
-	in.reading = true
-	in.deliver(min(c.randomLatency()+slow, readWait+callTimeout), func() {
-		in.reading = false
-		in.lastRead = c.now
+	in.readInProgress = true
+	in.deliver(min(c.randomLatency()+slow, maxReadWait+callTimeout), func() {
+		in.readInProgress = false
+		in.lastReadEnd = c.now
 		in.readSentAt = in.clockTime()
-		if slow > readWait+callTimeout {
+		if slow > maxReadWait+callTimeout {
 			return
 		}
 		if k := len(batch.Entries); k > 0 {
--- a/internal/testcell/worker.go
+++ b/internal/testcell/worker.go
@@ -22,15 +22,15 @@
 	// loseRenewals drops the answers of renewals; commandDelay delays commands.
 	loseRenewals bool
 	commandDelay time.Duration
-	nextUpdate   time.Duration
+	nextUpdate   time.Duration // when the next timer calls update
 }
 
 // pendingRenewal is a renewal whose answer waits for an event of the worker.
 type pendingRenewal struct {
-	in      *instance
-	request platform.RenewRequest
-	until   time.Duration
-	answer  func(platform.RenewReply, bool)
+	instance *instance
+	request  platform.RenewRequest
+	deadline time.Duration
+	answer   func(platform.RenewReply, bool)
 }
 
 // AddWorkers starts and lists n workers with the next names of w1, w2 and so on.
@@ -109,12 +109,12 @@
 	pending := w.pendingRenewals[:0]
 	for _, p := range w.pendingRenewals {
 		ref, held := w.core.Lease(now)
-		ready := !held || ref != p.request.Lease || w.core.HasEvent(p.request.Since) || w.cell.now >= p.until
+		ready := !held || ref != p.request.Lease || w.core.HasEvent(p.request.Since) || w.cell.now >= p.deadline
 		switch {
 		case !ready:
 			pending = append(pending, p)
 		case f.Silent || w.loseRenewals:
-		case f.Unreachable || w.unreachableFrom[p.in.info.ID]:
+		case f.Unreachable || w.unreachableFrom[p.instance.info.ID]:
 			p.answer(platform.RenewReply{}, true)
 		default:
 			p.answer(w.core.Report(now, p.request), false)
@@ -198,7 +198,7 @@
 			answer(reply, false)
 			return
 		}
-		w.pendingRenewals = append(w.pendingRenewals, &pendingRenewal{in: in, request: a.Request, until: c.now + a.Request.Wait, answer: answer})
+		w.pendingRenewals = append(w.pendingRenewals, &pendingRenewal{instance: in, request: a.Request, deadline: c.now + a.Request.Wait, answer: answer})
 		c.runAfter(a.Request.Wait, w.update)
 	}, done(platform.RenewReply{}, true))
 }
