--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// proxy passes connections on to a target and harms them on demand.
+// proxy forwards TCP connections to a target and injects network faults.
 type proxy struct {
 	target string
 	mu     sync.Mutex
-	mode   string // "", "delay", "silent", "oneway"
+	mode   string // "" (no fault), "delay", "drop" or "drop-answers"
 	conns  map[net.Conn]struct{}
 }
 
-// newProxy listens on address until l is closed.
+// newProxy returns a proxy that accepts connections from l until l is closed.
 func newProxy(l net.Listener, target string) *proxy {
 	p := &proxy{target: target, conns: make(map[net.Conn]struct{})}
 	go func() {
@@ -30,24 +30,25 @@
 }
 
 func (p *proxy) serve(c net.Conn) {
-	out, err := net.Dial("tcp", p.target)
+	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = c.Close() // there is nothing to pass on
+		_ = c.Close() // the target is unreachable
 		return
 	}
 	p.mu.Lock()
-	p.conns[c], p.conns[out] = struct{}{}, struct{}{}
+	p.conns[c], p.conns[upstream] = struct{}{}, struct{}{}
 	p.mu.Unlock()
-	go p.copy(out, c, false)
-	p.copy(c, out, true)
+	go p.copy(upstream, c, false)
+	p.copy(c, upstream, true)
 }
 
-// copy passes on what comes from one side. A silenced connection stays open and
-// nothing comes through, also later.
+// copy forwards what it reads from one side. Once a connection has read data in a
+// mode that drops, it stays open and drops all data in this direction, also after
+// the mode has changed back.
 func (p *proxy) copy(to, from net.Conn, answers bool) {
 	defer func() { _ = to.Close(); _ = from.Close() }()
 	buffer := make([]byte, 32<<10)
-	dead := false
+	dropping := false
 	for {
 		n, err := from.Read(buffer)
 		if err != nil {
@@ -56,8 +57,8 @@
 		p.mu.Lock()
 		mode := p.mode
 		p.mu.Unlock()
-		dead = dead || mode == "silent" || mode == "oneway" && answers
-		if dead {
+		dropping = dropping || mode == "drop" || mode == "drop-answers" && answers
+		if dropping {
 			continue
 		}
 		if mode == "delay" {
@@ -69,19 +70,19 @@
 	}
 }
 
-func (p *proxy) set(mode string) {
+func (p *proxy) setMode(mode string) {
 	p.mu.Lock()
 	p.mode = mode
 	p.mu.Unlock()
 }
 
-// reset ends all open connections with a reset.
+// reset closes all open connections with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a reset in place of an orderly end
+			_ = tcp.SetLinger(0) // makes Close send RST instead of FIN
 		}
 		_ = c.Close()
 		delete(p.conns, c)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -21,10 +21,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cell is a running cell of real processes with everything around it.
+// cell is a running cell of real processes with the stand-ins that it uses.
 type cell struct {
 	t         *testing.T
-	rand      *rand.Rand
+	rng       *rand.Rand
 	seed      uint64
 	binary    string
 	dir       string
@@ -32,89 +32,92 @@
 	fleet     *fleet
 	instances []*instance
 	stop      chan struct{}
-	wait      sync.WaitGroup
+	group     sync.WaitGroup
 }
 
-// instance is one process of the program and its link to the store.
+// instance is one process of the program, with the proxy between it and the store.
 type instance struct {
-	name    string
-	ip      string
-	boot    string
-	mu      sync.Mutex
-	process *os.Process
-	over    bool
-	link    *proxy
-	log     *os.File
+	name       string
+	ip         string
+	boot       string
+	mu         sync.Mutex
+	process    *os.Process
+	stopped    bool // whether the supervisor stops restarting it
+	storeProxy *proxy
+	log        *os.File
 }
 
-// submitted is a job as its client knows it.
-type submitted struct {
-	mu       sync.Mutex
-	id       string
-	width    int
-	steps    int
-	cpu      int64
-	open     int  // attempts under way
-	unknown  bool // an attempt had no certain outcome
-	rejected int
-	accepted bool
+// submittedJob is a job and what its client knows of it.
+type submittedJob struct {
+	mu           sync.Mutex
+	id           string
+	width        int
+	steps        int
+	cpu          int64
+	openAttempts int
+	unknown      bool // whether the outcome of an attempt is not known
+	rejected     int
+	accepted     bool
 }
 
-// refused reports whether every attempt so far was refused for certain.
-func (s *submitted) refused() bool {
+// refused reports whether every attempt so far was certainly refused.
+func (s *submittedJob) refused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rejected > 0 && s.open == 0 && !s.unknown && !s.accepted
+	return s.rejected > 0 && s.openAttempts == 0 && !s.unknown && !s.accepted
 }
 
-func envInt(name string, otherwise int) int {
+func envInt(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
-// TestSoak runs SOAK_SEEDS cells (1) of SOAK_INSTANCES processes (5) for
-// SOAK_SECONDS (6) each, from SOAK_FIRST (1) on.
+// TestSoak runs a cell of real processes under random faults, once for each seed. It
+// fails if a task runs twice or after a refusal, a worker is overcommitted, or an
+// accepted job does not complete after the faults end. Environment variables, with
+// their defaults: SOAK_FIRST (1), the first seed; SOAK_SEEDS (1), the number of
+// seeds; SOAK_INSTANCES (5); SOAK_SECONDS (6), the duration of the faults.
 func TestSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "pollenbend")
 	out, err := exec.Command("go", "build", "-o", binary, "pollenbend/cmd/pollenbend").CombinedOutput()
 	require.NoError(t, err, string(out))
 	first := envInt("SOAK_FIRST", 1)
 	for seed := first; seed < first+envInt("SOAK_SEEDS", 1); seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { soak(t, binary, uint64(seed)) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, binary, uint64(seed)) })
 	}
 	for _, seed := range regressions {
-		t.Run(fmt.Sprintf("regression %d", seed), func(t *testing.T) { soak(t, binary, seed) })
+		t.Run(fmt.Sprintf("regression %d", seed), func(t *testing.T) { runSeed(t, binary, seed) })
 	}
 }
 
-// regressions are the seeds that ever failed, with their causes.
+// regressions are the seeds that have failed, with their causes.
 var regressions = []uint64{}
 
-func soak(t *testing.T, binary string, seed uint64) {
-	c := &cell{t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 3)), binary: binary, dir: t.TempDir(), store: newStore(seed),
+func runSeed(t *testing.T, binary string, seed uint64) {
+	c := &cell{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 3)), binary: binary, dir: t.TempDir(), store: newStore(seed),
 		fleet: newFleet(6), stop: make(chan struct{})}
-	c.begin(envInt("SOAK_INSTANCES", 5))
-	defer c.end()
+	c.start(envInt("SOAK_INSTANCES", 5))
+	defer c.killAll()
 	clients := 4
 	for i := range clients {
-		c.wait.Add(1)
+		c.group.Add(1)
 		go c.client(i)
 	}
 	end := time.Now().Add(time.Duration(envInt("SOAK_SECONDS", 6)) * time.Second)
 	for time.Now().Before(end) {
-		c.strike()
-		time.Sleep(time.Duration(100+c.rand.IntN(900)) * time.Millisecond)
+		c.injectFault()
+		time.Sleep(time.Duration(100+c.rng.IntN(900)) * time.Millisecond)
 	}
 	close(c.stop)
-	c.heal()
-	c.wait.Wait()
-	c.checkEnd()
+	c.endFaults()
+	c.group.Wait()
+	c.checkViolations()
 }
 
-// begin starts the stand-ins and the processes.
-func (c *cell) begin(count int) {
+// start starts the stand-ins and count instances.
+func (c *cell) start(count int) {
 	storeAddress := c.listen("127.0.0.1:0", c.store)
 	var list []string
 	for id := range c.fleet.workers {
@@ -136,7 +139,7 @@
 	l, err := net.Listen("tcp", address)
 	require.NoError(c.t, err)
 	server := &http.Server{Handler: h}
-	go func() { _ = server.Serve(l) }() // ends with the listener
+	go func() { _ = server.Serve(l) }() // returns when the listener is closed
 	c.t.Cleanup(func() { _ = server.Close() })
 	return l.Addr().String()
 }
@@ -153,7 +156,7 @@
 	l, err := net.Listen("tcp", in.ip+":0")
 	require.NoError(c.t, err)
 	c.t.Cleanup(func() { _ = l.Close() })
-	in.link = newProxy(l, storeAddress)
+	in.storeProxy = newProxy(l, storeAddress)
 	boot := map[string]any{
 		"node": in.name, "zone": "z", "ip": in.ip,
 		"listen":            map[string]string{"front": fmt.Sprintf("%s:%d", in.ip, port), "ready": fmt.Sprintf("%s:%d", in.ip, port+1)},
@@ -167,17 +170,17 @@
 	require.NoError(c.t, os.WriteFile(in.boot, data, 0o600))
 	in.log, err = os.Create(filepath.Join(c.dir, in.name+".log"))
 	require.NoError(c.t, err)
-	c.wait.Add(1)
-	go c.keep(in)
+	c.group.Add(1)
+	go c.supervise(in)
 	return in
 }
 
-// keep runs the process of in and starts it again whenever it ends.
-func (c *cell) keep(in *instance) {
-	defer c.wait.Done()
+// supervise runs the process of in and restarts it whenever it ends.
+func (c *cell) supervise(in *instance) {
+	defer c.group.Done()
 	for {
 		in.mu.Lock()
-		if in.over {
+		if in.stopped {
 			in.mu.Unlock()
 			return
 		}
@@ -191,7 +194,7 @@
 			c.t.Errorf("start %s: %v", in.name, err)
 			return
 		}
-		_ = command.Wait() // it ends by the faults of the soak
+		_ = command.Wait() // injected faults end it
 		time.Sleep(100 * time.Millisecond)
 	}
 }
@@ -204,83 +207,84 @@
 	}
 }
 
-// strike injects one fault. Faults overlap.
-func (c *cell) strike() {
-	in := c.instances[c.rand.IntN(len(c.instances))]
-	later := func(f func()) { time.AfterFunc(time.Duration(200+c.rand.IntN(2500))*time.Millisecond, f) }
-	switch c.rand.IntN(13) {
+// injectFault injects one random fault. Faults may overlap.
+func (c *cell) injectFault() {
+	in := c.instances[c.rng.IntN(len(c.instances))]
+	afterDelay := func(f func()) { time.AfterFunc(time.Duration(200+c.rng.IntN(2500))*time.Millisecond, f) }
+	switch c.rng.IntN(13) {
 	case 0, 1:
 		in.signal(syscall.SIGKILL)
 	case 2:
 		in.signal(syscall.SIGTERM)
 	case 3:
 		in.signal(syscall.SIGSTOP)
-		later(func() { in.signal(syscall.SIGCONT) })
+		afterDelay(func() { in.signal(syscall.SIGCONT) })
 	case 4:
 		in.signal(syscall.SIGHUP)
 	case 5:
-		for _, every := range c.instances {
-			every.signal(syscall.SIGKILL)
+		for _, each := range c.instances {
+			each.signal(syscall.SIGKILL)
 		}
 	case 6, 7:
-		in.link.set([]string{"delay", "silent", "oneway"}[c.rand.IntN(3)])
-		later(func() { in.link.set("") })
+		in.storeProxy.setMode([]string{"delay", "drop", "drop-answers"}[c.rng.IntN(3)])
+		afterDelay(func() { in.storeProxy.setMode("") })
 	case 8:
-		in.link.reset()
+		in.storeProxy.reset()
 	case 9, 10:
-		c.store.setMode([]string{"refuse", "silent", "slow", "lose"}[c.rand.IntN(4)])
-		later(func() { c.store.setMode("") })
+		c.store.setMode([]string{"refuse", "hang", "slow", "lose"}[c.rng.IntN(4)])
+		afterDelay(func() { c.store.setMode("") })
 	case 11:
-		c.silence(fmt.Sprintf("w%02d", c.rand.IntN(len(c.fleet.workers))), true)
+		c.setHanging(fmt.Sprintf("w%02d", c.rng.IntN(len(c.fleet.workers))), true)
 	case 12:
 		for id := range c.fleet.workers {
-			c.silence(id, false)
+			c.setHanging(id, false)
 		}
 	}
 }
 
-func (c *cell) silence(worker string, silent bool) {
+func (c *cell) setHanging(worker string, hanging bool) {
 	c.fleet.mu.Lock()
-	c.fleet.workers[worker].silent = silent
+	c.fleet.workers[worker].hanging = hanging
 	c.fleet.mu.Unlock()
 }
 
-func (c *cell) heal() {
+func (c *cell) endFaults() {
 	c.store.setMode("")
 	for id := range c.fleet.workers {
-		c.silence(id, false)
+		c.setHanging(id, false)
 	}
 	for _, in := range c.instances {
-		in.link.set("")
-		in.link.reset()
+		in.storeProxy.setMode("")
+		in.storeProxy.reset()
 		in.signal(syscall.SIGCONT)
 	}
-	// Processes keep running until the jobs are over; clients wait for these.
+	// Instances run until all accepted jobs have completed: clients finish their last
+	// submissions there, and the states of jobs are read from there.
 	go func() {
-		c.settle()
+		c.awaitCompletion()
 		for _, in := range c.instances {
 			in.mu.Lock()
-			in.over = true
+			in.stopped = true
 			in.mu.Unlock()
 			in.signal(syscall.SIGKILL)
 		}
 	}()
 }
 
-// settleTime is how long after the last fault every accepted job has to be over:
-// leases, takeovers and a queue of a few seconds.
-const settleTime = 40 * time.Second
+// completionTimeout is the time after the last fault within which every accepted job
+// must complete. It covers expiring leases, takeovers and a queue of a few seconds.
+const completionTimeout = 40 * time.Second
 
-// settle waits until every accepted job is shown as completed.
-func (c *cell) settle() {
-	for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+// awaitCompletion waits until instances report every accepted job as completed.
+func (c *cell) awaitCompletion() {
+	for end := time.Now().Add(completionTimeout); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		if len(c.unfinished()) == 0 {
 			return
 		}
 	}
 	for _, id := range c.unfinished() {
 		c.fleet.mu.Lock()
-		c.fleet.fault("job %s was accepted and is not completed %v after the last fault", id, settleTime)
+		c.fleet.violation("job %s was accepted, but is not completed %v after the last fault", id, completionTimeout)
 		c.fleet.mu.Unlock()
 	}
 }
@@ -305,8 +309,8 @@
 	return open
 }
 
-// state asks an instance how a job stands, and checks that a job that is shown as
-// completed is.
+// state returns the state of a job as the first instance that answers reports it.
+// It checks that all tasks of a job that is reported as completed are done.
 func (c *cell) state(id string) string {
 	for _, in := range c.instances {
 		status, body := c.call(http.DefaultClient, in, http.MethodGet, "/q/"+id, nil)
@@ -334,13 +338,13 @@
 	for step := range j.steps {
 		for i := range j.width {
 			if task := fmt.Sprintf("%s.0.%d.%d", id, step, i); !c.fleet.done[task] {
-				c.fleet.fault("%s is shown as completed, but %s is not done", id, task)
+				c.fleet.violation("job %s is reported as completed, but task %s is not done", id, task)
 			}
 		}
 	}
 }
 
-// call sends one request to an instance. Status zero means that there was no answer.
+// call sends one request to an instance. A status of zero means that no answer came.
 func (c *cell) call(client *http.Client, in *instance, method, path string, body []byte) (int, []byte) {
 	var boot struct {
 		Listen struct{ Front string }
@@ -362,7 +366,7 @@
 	if err != nil {
 		return 0, nil
 	}
-	defer func() { _ = resp.Body.Close() }() // the answer has been read
+	defer func() { _ = resp.Body.Close() }() // the body has been read
 	answer, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return 0, nil
@@ -370,27 +374,27 @@
 	return resp.StatusCode, answer
 }
 
-// client hands in jobs over connections that it keeps open.
+// client submits jobs over persistent connections until c.stop is closed.
 func (c *cell) client(number int) {
-	defer c.wait.Done()
+	defer c.group.Done()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
-	random := rand.New(rand.NewPCG(c.seed, uint64(100+number)))
+	rng := rand.New(rand.NewPCG(c.seed, uint64(100+number)))
 	for n := 0; ; n++ {
 		select {
 		case <-c.stop:
 			return
-		case <-time.After(time.Duration(20+random.IntN(60)) * time.Millisecond):
+		case <-time.After(time.Duration(20+rng.IntN(60)) * time.Millisecond):
 		}
-		j := &submitted{id: fmt.Sprintf("%08x%08x", number, n), width: 1 + random.IntN(4), steps: 1 + random.IntN(2), cpu: int64(500 + random.IntN(1500))}
+		j := &submittedJob{id: fmt.Sprintf("%08x%08x", number, n), width: 1 + rng.IntN(4), steps: 1 + rng.IntN(2), cpu: int64(500 + rng.IntN(1500))}
 		c.fleet.mu.Lock()
 		c.fleet.jobs[j.id] = j
 		c.fleet.mu.Unlock()
-		c.submit(client, random, j)
+		c.submit(client, rng, j)
 	}
 }
 
-// submit hands j in, again and again while it is not accepted.
-func (c *cell) submit(client *http.Client, random *rand.Rand, j *submitted) {
+// submit submits j, with up to three attempts until it is accepted.
+func (c *cell) submit(client *http.Client, rng *rand.Rand, j *submittedJob) {
 	steps := ""
 	for i := range j.steps {
 		after := ""
@@ -401,13 +405,13 @@
 	}
 	body := []byte(`{"spec":"p","steps":[` + steps[:len(steps)-1] + `]}`)
 	for range 3 {
-		in := c.instances[random.IntN(len(c.instances))]
+		in := c.instances[rng.IntN(len(c.instances))]
 		j.mu.Lock()
-		j.open++
+		j.openAttempts++
 		j.mu.Unlock()
 		status, _ := c.call(client, in, http.MethodPost, "/q/"+j.id, body)
 		j.mu.Lock()
-		j.open--
+		j.openAttempts--
 		switch status {
 		case http.StatusOK:
 			j.accepted = true
@@ -425,7 +429,7 @@
 	}
 }
 
-func (c *cell) checkEnd() {
+func (c *cell) checkViolations() {
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
 	accepted := 0
@@ -435,18 +439,18 @@
 		}
 	}
 	c.t.Logf("seed %d: %d jobs, %d accepted, %d starts", c.seed, len(c.fleet.jobs), accepted, c.fleet.starts)
-	for i, f := range c.fleet.faults {
+	for i, v := range c.fleet.violations {
 		if i < 10 {
-			c.t.Error(f)
+			c.t.Error(v)
 		}
 	}
 	if c.t.Failed() {
-		c.keepLogs()
+		c.copyLogs()
 	}
 }
 
-// keepLogs copies the logs of a failed seed to SOAK_LOGS, if that is set.
-func (c *cell) keepLogs() {
+// copyLogs copies the logs of a failed seed to the directory SOAK_LOGS, if it is set.
+func (c *cell) copyLogs() {
 	to := os.Getenv("SOAK_LOGS")
 	if to == "" {
 		return
@@ -462,11 +466,11 @@
 	}
 }
 
-// end makes sure that no process of this cell is left.
-func (c *cell) end() {
+// killAll ends all processes of the cell, also those that are stopped by a signal.
+func (c *cell) killAll() {
 	for _, in := range c.instances {
 		in.mu.Lock()
-		in.over = true
+		in.stopped = true
 		in.mu.Unlock()
 		in.signal(syscall.SIGCONT)
 		in.signal(syscall.SIGKILL)
--- a/internal/soak/store_test.go
+++ b/internal/soak/store_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// store is a stand-in of the platform's log with keyed topics of one partition.
+// store is a stand-in for the platform's log, with keyed topics of one partition.
 type store struct {
-	mu     sync.Mutex
-	topics map[string]*topic
-	rand   *rand.Rand
-	grown  chan struct{} // closed at each append
-	// mode is how the store misbehaves: "", "refuse", "silent", "slow" or "lose" (the
-	// answers of appends).
+	mu       sync.Mutex
+	topics   map[string]*topic
+	rng      *rand.Rand
+	appended chan struct{} // closed at each append
+	// mode is the injected fault: "" (none), "refuse" (every request), "hang" (no
+	// request is answered), "slow", or "lose" (answers to some appends are lost).
 	mode string
 }
 
@@ -30,7 +30,7 @@
 }
 
 func newStore(seed uint64) *store {
-	return &store{topics: make(map[string]*topic), rand: rand.New(rand.NewPCG(seed, 2)), grown: make(chan struct{})}
+	return &store{topics: make(map[string]*topic), rng: rand.New(rand.NewPCG(seed, 2)), appended: make(chan struct{})}
 }
 
 func (s *store) setMode(mode string) {
@@ -48,27 +48,27 @@
 	return t
 }
 
-// put adds a record as the operator or a worker would.
+// put appends a record in the way in which the operator or a worker writes it.
 func (s *store) put(name, key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
 	t.records = append(t.records, [2]string{key, value})
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 }
 
 // ServeHTTP implements http.Handler.
 func (s *store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	mode := s.mode
-	lose := mode == "lose" && s.rand.IntN(3) == 0
+	lose := mode == "lose" && s.rng.IntN(3) == 0
 	s.mu.Unlock()
 	switch mode {
 	case "refuse":
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case "silent":
+	case "hang":
 		<-r.Context().Done()
 		return
 	case "slow":
@@ -106,7 +106,7 @@
 func reply(w http.ResponseWriter, status int, answer any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(answer) // a caller that is gone loses its answer
+	_ = json.NewEncoder(w).Encode(answer) // the client may have disconnected
 }
 
 func (s *store) appendLocked(name, at, epoch, seq string, body []byte) (int, any) {
@@ -126,7 +126,7 @@
 		}
 		if len(body) > 0 {
 			if n == t.seq {
-				return http.StatusOK, map[string]int64{"offset": end, "end": end} // a repeat
+				return http.StatusOK, map[string]int64{"offset": end, "end": end} // a repeated append
 			}
 			if n != t.seq+1 {
 				return http.StatusConflict, map[string]any{"reason": "seq", "seq": t.seq + 1}
@@ -143,8 +143,8 @@
 		t.records = append(t.records, [2]string{string(record[1:key]), string(record[key:])})
 		body = body[4+size:]
 	}
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	return http.StatusOK, map[string]int64{"offset": end, "end": int64(len(t.records))}
 }
 
@@ -156,7 +156,7 @@
 	for {
 		s.mu.Lock()
 		records := s.topic(q.Get("topic")).records
-		grown := s.grown
+		appended := s.appended
 		s.mu.Unlock()
 		if len(records) > from || wait == 0 {
 			out := binary.BigEndian.AppendUint64(nil, uint64(len(records)))
@@ -167,11 +167,11 @@
 				out = append(out, rec[0]...)
 				out = append(out, rec[1]...)
 			}
-			_, _ = w.Write(out) // a caller that is gone loses its answer
+			_, _ = w.Write(out) // the client may have disconnected
 			return
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-timeout:
 			wait = 0
 		case <-r.Context().Done():
--- a/internal/soak/workers_test.go
+++ b/internal/soak/workers_test.go
@@ -8,67 +8,71 @@
 	"time"
 )
 
-// fleet is a stand-in of all workers, and of the adviser. It checks what workers
-// see: one place for each task, capacity, order of steps, true refusals.
+// fleet is a stand-in for all workers. It checks what workers can observe: a task
+// runs on one worker at a time and not after its end was acknowledged, workers are
+// not overcommitted, steps run in order, and refused jobs don't run.
 type fleet struct {
-	mu      sync.Mutex
-	began   time.Time
-	workers map[string]*worker
-	placed  map[string]string // task -> worker that runs it
-	done    map[string]bool   // tasks with a run that ended as done
-	acked   map[string]bool   // of these, the ones whose end was confirmed
-	faults  []string
-	starts  int
-	hold    time.Duration // longest lease
-	jobs    map[string]*submitted
+	mu           sync.Mutex
+	startedAt    time.Time
+	workers      map[string]*worker
+	runsOn       map[string]string // by task: the worker that runs it
+	done         map[string]bool   // tasks with a run that ended with "done"
+	acknowledged map[string]bool   // tasks in done whose end was acknowledged
+	violations   []string
+	starts       int
+	maxLease     time.Duration // maximum duration of a lease
+	jobs         map[string]*submittedJob
 }
 
 type worker struct {
-	id     string
-	fence  int64
-	lease  time.Time
-	used   int64
-	runs   map[string]*taskRun
-	ended  [][]any
-	number int64
-	// expired is the last end that was listed when the lease had run out: such an end
-	// does not count as confirmed.
-	expired int64
-	barred  map[string]int
-	silent  bool
-	grown   chan struct{}
+	id       string
+	fence    int64
+	leaseEnd time.Time
+	usedCPU  int64
+	runs     map[string]*taskRun
+	ended    [][]any // ends that are not acknowledged yet, as the wire has them
+	lastEnd  int64   // number of the newest entry of ended
+	// expiredEnd is the value of lastEnd when the lease was last seen expired. Ends up
+	// to this number don't count as acknowledged.
+	expiredEnd int64
+	closedRun  map[string]int // by task: the highest run that may not start (again)
+	hanging    bool
+	changed    chan struct{} // closed at each end of a run
 }
 
+// taskRun is a run of a task on a worker.
 type taskRun struct {
-	task string
-	run  int
-	cpu  int64
-	ends time.Time
-	from time.Time
+	task      string
+	run       int
+	cpu       int64
+	endsAt    time.Time
+	startedAt time.Time
 }
 
 const (
-	workerCPU = 8000
+	workerCPU = 8000 // mCPU
 	taskTime  = 300 * time.Millisecond
 )
 
 func newFleet(count int) *fleet {
-	f := &fleet{began: time.Now(), workers: make(map[string]*worker), placed: make(map[string]string), done: make(map[string]bool),
-		acked: make(map[string]bool), hold: 4 * time.Second, jobs: make(map[string]*submitted)}
+	f := &fleet{startedAt: time.Now(), workers: make(map[string]*worker), runsOn: make(map[string]string), done: make(map[string]bool),
+		acknowledged: make(map[string]bool), maxLease: 4 * time.Second, jobs: make(map[string]*submittedJob)}
 	for i := range count {
 		id := fmt.Sprintf("w%02d", i)
-		f.workers[id] = &worker{id: id, runs: make(map[string]*taskRun), barred: make(map[string]int), grown: make(chan struct{})}
+		f.workers[id] = &worker{id: id, runs: make(map[string]*taskRun), closedRun: make(map[string]int), changed: make(chan struct{})}
 	}
 	return f
 }
 
-func (f *fleet) fault(format string, args ...any) {
-	f.faults = append(f.faults, fmt.Sprintf("%8s ", time.Since(f.began).Round(time.Millisecond))+fmt.Sprintf(format, args...))
+// violation records that something that must hold did not. The caller holds f.mu.
+func (f *fleet) violation(format string, args ...any) {
+	f.violations = append(f.violations, fmt.Sprintf("%8s ", time.Since(f.startedAt).Round(time.Millisecond))+fmt.Sprintf(format, args...))
 }
 
-func (f *fleet) clock() int64 { return time.Since(f.began).Milliseconds() + 1000 }
+func (f *fleet) clockMillis() int64 { return time.Since(f.startedAt).Milliseconds() + 1000 }
 
-type order struct {
+// workerRequest is the body of a start, stop or renewal.
+type workerRequest struct {
 	Task       string `json:"task"`
 	Run        int    `json:"run"`
 	Fence      int64  `json:"fence"`
@@ -77,28 +81,29 @@
 	WaitMS     int64  `json:"waitMs"`
 }
 
+// serve returns the handler of the requests to one worker.
 func (f *fleet) serve(id string) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		var o order
-		if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
+		var req workerRequest
+		if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 			rw.WriteHeader(http.StatusBadRequest)
 			return
 		}
 		f.mu.Lock()
 		w := f.workers[id]
-		silent := w.silent
+		hanging := w.hanging
 		f.mu.Unlock()
-		if silent {
+		if hanging {
 			<-r.Context().Done()
 			return
 		}
 		switch r.URL.Path {
 		case "/-/run-start":
-			f.start(rw, w, &o)
+			f.start(rw, w, &req)
 		case "/-/run-stop":
-			f.stop(rw, w, &o)
+			f.stop(rw, w, &req)
 		case "/-/hold":
-			f.look(rw, r, w, &o)
+			f.renew(rw, r, w, &req)
 		default:
 			rw.WriteHeader(http.StatusNotFound)
 		}
@@ -107,164 +112,165 @@
 
 func (f *fleet) answer(rw http.ResponseWriter, reason string) {
 	if reason != "" {
-		reply(rw, http.StatusConflict, map[string]any{"clockMs": f.clock(), "born": 1, "reason": reason})
+		reply(rw, http.StatusConflict, map[string]any{"clockMs": f.clockMillis(), "born": 1, "reason": reason})
 		return
 	}
-	reply(rw, http.StatusOK, map[string]any{"clockMs": f.clock(), "born": 1})
+	reply(rw, http.StatusOK, map[string]any{"clockMs": f.clockMillis(), "born": 1})
 }
 
-func (f *fleet) start(rw http.ResponseWriter, w *worker, o *order) {
+func (f *fleet) start(rw http.ResponseWriter, w *worker, req *workerRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.progress(w)
+	f.endDueRuns(w)
 	switch {
-	case o.Fence < w.fence:
+	case req.Fence < w.fence:
 		f.answer(rw, "fence")
 		return
-	case o.DeadlineMS < f.clock():
+	case req.DeadlineMS < f.clockMillis():
 		f.answer(rw, "late")
 		return
-	case w.runs[o.Task] != nil && w.runs[o.Task].run == o.Run:
+	case w.runs[req.Task] != nil && w.runs[req.Task].run == req.Run:
 		f.answer(rw, "")
 		return
-	case w.barred[o.Task] >= o.Run:
+	case w.closedRun[req.Task] >= req.Run:
 		f.answer(rw, "old")
 		return
 	}
-	w.fence = o.Fence
-	f.extend(w, o.DeadlineMS)
-	f.begin(w, o)
+	w.fence = req.Fence
+	f.extendLease(w, req.DeadlineMS)
+	f.startRun(w, req)
 	f.answer(rw, "")
 }
 
-// begin starts a run and checks the promises that concern a start.
-func (f *fleet) begin(w *worker, o *order) {
+// startRun starts a run and checks everything that must hold at a start.
+func (f *fleet) startRun(w *worker, req *workerRequest) {
 	f.starts++
-	if at := f.placed[o.Task]; at != "" {
-		f.progress(f.workers[at])
+	if at := f.runsOn[req.Task]; at != "" {
+		f.endDueRuns(f.workers[at])
 	}
-	if at := f.placed[o.Task]; at != "" {
-		f.fault("%s run %d on %s while it runs on %s", o.Task, o.Run, w.id, at)
+	if at := f.runsOn[req.Task]; at != "" {
+		f.violation("task %s, run %d started on %s while the task runs on %s", req.Task, req.Run, w.id, at)
 	}
-	if f.acked[o.Task] {
-		f.fault("%s run %d on %s after its end was confirmed", o.Task, o.Run, w.id)
+	if f.acknowledged[req.Task] {
+		f.violation("task %s, run %d started on %s after the task's end was acknowledged", req.Task, req.Run, w.id)
 	}
-	j := f.jobs[o.Task[:16]]
+	j := f.jobs[req.Task[:16]]
 	if j == nil {
-		f.fault("%s was never submitted", o.Task)
+		f.violation("task %s started, but its job was never submitted", req.Task)
 		return
 	}
 	if j.refused() {
-		f.fault("%s runs, although every submission was refused", o.Task)
+		f.violation("task %s started, but every submission of its job was refused", req.Task)
 	}
 	var step, index int
-	_, _ = fmt.Sscanf(o.Task[16:], ".0.%d.%d", &step, &index)
+	_, _ = fmt.Sscanf(req.Task[16:], ".0.%d.%d", &step, &index)
 	if step > 0 {
 		for i := range j.width {
 			if before := fmt.Sprintf("%s.0.0.%d", j.id, i); !f.done[before] {
-				f.fault("%s before %s was done", o.Task, before)
+				f.violation("task %s started before task %s of the previous step was done", req.Task, before)
 			}
 		}
 	}
-	w.runs[o.Task] = &taskRun{task: o.Task, run: o.Run, cpu: j.cpu, from: time.Now(), ends: time.Now().Add(taskTime)}
-	f.placed[o.Task] = w.id
-	w.used += j.cpu
-	if w.used > workerCPU {
-		f.fault("%s runs %d of %d", w.id, w.used, workerCPU)
+	w.runs[req.Task] = &taskRun{task: req.Task, run: req.Run, cpu: j.cpu, startedAt: time.Now(), endsAt: time.Now().Add(taskTime)}
+	f.runsOn[req.Task] = w.id
+	w.usedCPU += j.cpu
+	if w.usedCPU > workerCPU {
+		f.violation("worker %s is overcommitted: its tasks use %d mCPU, its capacity is %d mCPU", w.id, w.usedCPU, workerCPU)
 	}
 }
 
-func (f *fleet) extend(w *worker, deadline int64) {
-	end := time.Now().Add(min(f.hold, time.Duration(deadline-f.clock())*time.Millisecond))
-	if end.After(w.lease) {
-		w.lease = end
+func (f *fleet) extendLease(w *worker, deadline int64) {
+	end := time.Now().Add(min(f.maxLease, time.Duration(deadline-f.clockMillis())*time.Millisecond))
+	if end.After(w.leaseEnd) {
+		w.leaseEnd = end
 	}
 }
 
-// progress ends the runs of w that are due.
-func (f *fleet) progress(w *worker) {
+// endDueRuns ends the runs of w that are complete or whose lease has expired.
+func (f *fleet) endDueRuns(w *worker) {
 	now := time.Now()
-	if now.After(w.lease) {
-		w.expired = w.number
+	if now.After(w.leaseEnd) {
+		w.expiredEnd = w.lastEnd
 	}
 	for _, r := range w.runs {
 		switch {
-		case now.After(w.lease) && w.lease.Before(r.ends):
-			f.end(w, r, "lapsed")
-		case now.After(r.ends):
-			f.end(w, r, "done")
+		case now.After(w.leaseEnd) && w.leaseEnd.Before(r.endsAt):
+			f.endRun(w, r, "lapsed")
+		case now.After(r.endsAt):
+			f.endRun(w, r, "done")
 		}
 	}
 }
 
-func (f *fleet) end(w *worker, r *taskRun, how string) {
+func (f *fleet) endRun(w *worker, r *taskRun, how string) {
 	delete(w.runs, r.task)
-	delete(f.placed, r.task)
-	w.used -= r.cpu
-	w.barred[r.task] = max(w.barred[r.task], r.run)
-	w.number++
-	w.ended = append(w.ended, []any{w.number, r.task, r.run, how, ""})
+	delete(f.runsOn, r.task)
+	w.usedCPU -= r.cpu
+	w.closedRun[r.task] = max(w.closedRun[r.task], r.run)
+	w.lastEnd++
+	w.ended = append(w.ended, []any{w.lastEnd, r.task, r.run, how, ""})
 	if how == "done" {
 		f.done[r.task] = true
 	}
-	close(w.grown)
-	w.grown = make(chan struct{})
+	close(w.changed)
+	w.changed = make(chan struct{})
 }
 
-func (f *fleet) stop(rw http.ResponseWriter, w *worker, o *order) {
+func (f *fleet) stop(rw http.ResponseWriter, w *worker, req *workerRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.progress(w)
-	if o.Fence < w.fence {
+	f.endDueRuns(w)
+	if req.Fence < w.fence {
 		f.answer(rw, "fence")
 		return
 	}
-	w.fence = o.Fence
-	w.barred[o.Task] = max(w.barred[o.Task], o.Run)
-	if r := w.runs[o.Task]; r != nil && r.run <= o.Run {
-		f.end(w, r, "stopped")
+	w.fence = req.Fence
+	w.closedRun[req.Task] = max(w.closedRun[req.Task], req.Run)
+	if r := w.runs[req.Task]; r != nil && r.run <= req.Run {
+		f.endRun(w, r, "stopped")
 	}
 	f.answer(rw, "")
 }
 
-func (f *fleet) look(rw http.ResponseWriter, r *http.Request, w *worker, o *order) {
+func (f *fleet) renew(rw http.ResponseWriter, r *http.Request, w *worker, req *workerRequest) {
 	f.mu.Lock()
-	f.progress(w)
-	if o.Fence < w.fence {
+	f.endDueRuns(w)
+	if req.Fence < w.fence {
 		f.answer(rw, "fence")
 		f.mu.Unlock()
 		return
 	}
-	w.fence = o.Fence
-	if o.DeadlineMS > 0 {
-		f.extend(w, o.DeadlineMS)
+	w.fence = req.Fence
+	if req.DeadlineMS > 0 {
+		f.extendLease(w, req.DeadlineMS)
 	}
-	f.confirm(w, o.AckCursor)
-	for end := time.Now().Add(time.Duration(o.WaitMS) * time.Millisecond); len(w.ended) == 0 && time.Now().Before(end) && r.Context().Err() == nil; {
+	f.acknowledge(w, req.AckCursor)
+	for end := time.Now().Add(time.Duration(req.WaitMS) * time.Millisecond); len(w.ended) == 0 && time.Now().Before(end) && r.Context().Err() == nil; {
 		f.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
 		f.mu.Lock()
-		f.progress(w)
+		f.endDueRuns(w)
 	}
 	running := [][]any{}
 	for _, u := range w.runs {
-		percent := int(100 * time.Since(u.from) / taskTime)
+		percent := int(100 * time.Since(u.startedAt) / taskTime)
 		running = append(running, []any{u.task, u.run, "", min(99, percent), 0})
 	}
-	out := map[string]any{"clockMs": f.clock(), "born": 1, "running": running, "ended": append([][]any{}, w.ended...)}
+	out := map[string]any{"clockMs": f.clockMillis(), "born": 1, "running": running, "ended": append([][]any{}, w.ended...)}
 	f.mu.Unlock()
 	reply(rw, http.StatusOK, out)
 }
 
-func (f *fleet) confirm(w *worker, cursor int64) {
+// acknowledge removes the ends up to cursor from the list.
+func (f *fleet) acknowledge(w *worker, cursor int64) {
 	kept := w.ended[:0]
 	for _, e := range w.ended {
 		if e[0].(int64) > cursor {
 			kept = append(kept, e)
 			continue
 		}
-		if e[3] == "done" && e[0].(int64) > w.expired {
-			f.acked[e[1].(string)] = true
+		if e[3] == "done" && e[0].(int64) > w.expiredEnd {
+			f.acknowledged[e[1].(string)] = true
 		}
 	}
 	w.ended = kept
