--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -12,10 +12,11 @@
 	"pollenbend/internal/standin"
 )
 
-var chaosRequests = flag.Int("requests", 600, "requests served in TestChaos")
+var chaosRequests = flag.Int("requests", 600, "number of requests answered in TestChaos")
 
-// TestChaos stops, kills and drains instances of a cell of nine under load. No
-// request may be lost or doubled, and no answer may be false.
+// TestChaos guards against lost or repeated requests and false answers while instances
+// fail. It pauses, kills, drains and restarts instances of a cell of nine under load,
+// and compares the answers with the workers' history.
 func TestChaos(t *testing.T) {
 	const instances, callers = 9, 24
 	c := startCell(t, "guild", instances)
@@ -37,35 +38,35 @@
 	}
 	for i, step := range steps {
 		goal := int64(*chaosRequests * (i + 1) / (len(steps) + 1))
-		c.await("load before "+step.name, func() bool { return t.Failed() || load.answered() >= goal })
+		c.await("the load before "+step.name, func() bool { return t.Failed() || load.answered() >= goal })
 		step.do()
 		t.Logf("after %d answers: %s", load.answered(), step.name)
 	}
-	c.await("the rest of the load", func() bool { return t.Failed() || load.answered() >= int64(*chaosRequests) })
+	c.await("the remaining load", func() bool { return t.Failed() || load.answered() >= int64(*chaosRequests) })
 	load.stop()
 	t.Logf("done %d, may have run %d, refusals \"not run\" %d (each asked again)",
-		load.served.Load(), load.inDoubt.Load(), load.refused.Load())
+		load.served.Load(), load.uncertain.Load(), load.refused.Load())
 	c.checkHistory(load)
 }
 
-// kill ends a process at once.
+// kill sends SIGKILL to a process and waits until it has ended.
 func (c *cell) kill(name string) {
 	c.signal(name, syscall.SIGKILL)
 	_ = c.procs[name].Wait()
 }
 
-// checkHistory compares the answers with what the workers recorded: a request
-// that is done ran once, one that may have run at most once, and no worker was
-// ever asked for more than it has.
+// checkHistory compares the answers with what the workers recorded: a request that is
+// done ran once, any other ran at most once, and no worker was ever committed beyond
+// its capacity.
 func (c *cell) checkHistory(l *load) {
 	c.t.Helper()
 	starts := c.starts()
 	for id, v := range l.verdicts() {
 		task := model.TaskIDOf("cork-salons", id, 0)
 		if v.done {
-			require.Equal(c.t, 1, starts[task], "request %s is done", id)
+			require.Equal(c.t, 1, starts[task], "starts of request %s, which is done", id)
 		}
-		require.LessOrEqual(c.t, starts[task], 1, "request %s", id)
+		require.LessOrEqual(c.t, starts[task], 1, "starts of request %s", id)
 	}
 	for _, e := range c.history() {
 		require.NotEqual(c.t, standin.EventOvercommit, e.Kind, fmt.Sprintf("%+v", e))
--- a/internal/e2e/cli_test.go
+++ b/internal/e2e/cli_test.go
@@ -16,7 +16,7 @@
 	"pollenbend/internal/cli"
 )
 
-// command runs the program to its end and returns its exit code and outputs.
+// command runs the program until it exits and returns its exit code and outputs.
 func command(t *testing.T, args ...string) (code int, out, errOut string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
@@ -30,7 +30,7 @@
 
 const brokenDir = "../../testdata/broken"
 
-// brokenFiles holds the line and key of the fault of each broken file.
+// brokenFiles lists the files of brokenDir, each with the line and key of its fault.
 const brokenFiles = `
 settings-unknown-key 20 limits.max_size
 settings-unknown-table 19 quotas
--- a/internal/e2e/doc.go
+++ b/internal/e2e/doc.go
@@ -1,2 +1,2 @@
-// Package e2e tests whole cells of separate processes on loopback.
+// Package e2e tests complete cells of separate processes on the loopback interface.
 package e2e
--- a/internal/e2e/docs_test.go
+++ b/internal/e2e/docs_test.go
@@ -22,14 +22,15 @@
 
 const root = "../.."
 
-// block is a fenced block of a page.
+// block is a fenced block of a Markdown page.
 type block struct {
-	info  string // after the fence
+	info  string // the text after the opening fence
 	lines []string
 }
 
 var fence = regexp.MustCompile("^```(.*)$")
 
+// blocks returns the fenced blocks of a page.
 func blocks(t testing.TB, page string) []block {
 	t.Helper()
 	var all []block
@@ -47,7 +48,7 @@
 			last.lines = append(last.lines, line)
 		}
 	}
-	require.False(t, open, "%s: a block does not end", page)
+	require.False(t, open, "%s: a fenced block is not closed", page)
 	return all
 }
 
@@ -58,12 +59,12 @@
 	return string(data)
 }
 
-// docCommand is a command of a page with what the page says of its end.
+// docCommand is a command of a page and the outcome that the page states.
 type docCommand struct {
-	text     string
-	exit     int
-	contains string
-	stays    bool // it runs until interrupted
+	text             string
+	exit             int
+	contains         string
+	untilInterrupted bool // whether it runs until interrupted
 }
 
 var (
@@ -71,9 +72,9 @@
 	outputComment = regexp.MustCompile(`  # -> (.+)$`)
 )
 
-const staysComment = "  # runs until interrupted"
+const untilInterruptedComment = "  # runs until interrupted"
 
-// commands returns the commands of the sh blocks of a page, continuation lines
+// commands returns the commands of the sh blocks of a page, with continuation lines
 // joined.
 func commands(t testing.TB, page string) []docCommand {
 	t.Helper()
@@ -99,12 +100,12 @@
 	if m := outputComment.FindStringSubmatch(line); m != nil {
 		c.contains = m[1]
 	}
-	c.text, c.stays = strings.CutSuffix(c.text, staysComment)
+	c.text, c.untilInterrupted = strings.CutSuffix(c.text, untilInterruptedComment)
 	c.text = outputComment.ReplaceAllString(exitComment.ReplaceAllString(c.text, ""), "")
 	return c
 }
 
-// session is a shell in which the commands of a page run one after the other.
+// session is a shell that runs the commands of a page in sequence.
 type session struct {
 	t       testing.TB
 	dir     string
@@ -114,8 +115,8 @@
 	after   func()            // called after each command
 }
 
-// newSession starts a shell in a new folder with the examples, where pollenbend
-// is this test binary.
+// newSession starts a shell in a new folder that links to the examples and testdata. In
+// this shell, pollenbend runs the test binary.
 func newSession(t *testing.T) *session {
 	t.Helper()
 	dir := t.TempDir()
@@ -160,18 +161,19 @@
 		}
 		output.WriteString(line + "\n")
 	}
-	require.Fail(s.t, "the shell ended", c.text)
+	require.Fail(s.t, "the shell exited", c.text)
 }
 
-// runsInCI tells the commands that CI itself runs, which a test can't.
+// runsInCI reports whether CI itself runs a command. A test can't run such a command,
+// because CI runs the test.
 func runsInCI(t testing.TB, text string) bool {
 	t.Helper()
 	const script = "scripts/test.sh"
 	return text == "bash "+script || strings.Contains(readPage(t, script), "\n"+text+"\n")
 }
 
-// runPage runs every command of a page. The commands that run until interrupted
-// are handed to start.
+// runPage writes the named toml blocks of a page to files, then runs every command of
+// the page. It passes commands that run until interrupted to start.
 func (s *session) runPage(page string, start func(command string)) {
 	s.t.Helper()
 	for _, b := range blocks(s.t, page) {
@@ -186,7 +188,7 @@
 			continue
 		}
 		c.text = strings.ReplaceAll(c.text, "go run ./cmd/pollenbend", "pollenbend")
-		if c.stays {
+		if c.untilInterrupted {
 			start(c.text)
 			continue
 		}
@@ -195,8 +197,8 @@
 	}
 }
 
-// startDev runs the dev command as the page has it and makes the page's address
-// the first one that it prints.
+// startDev runs the dev command of a page. It replaces the page's address by the last
+// one that the command prints until it is running.
 func (s *session) startDev(command string) {
 	s.t.Helper()
 	require.Equal(s.t, "pollenbend dev", command)
@@ -218,7 +220,7 @@
 			return
 		}
 	}
-	require.Fail(s.t, "the dev command ended")
+	require.Fail(s.t, "the dev command exited")
 }
 
 func TestDocsCommandsOfReadme(t *testing.T) {
@@ -246,20 +248,20 @@
 			c.awaitSameVersion(strings.TrimSpace(string(key)))
 		}
 	}
-	s.runPage("docs/OPERATING.md", c.startAsTold)
+	s.runPage("docs/OPERATING.md", c.startFromPage)
 	res, err := http.Get(c.http["entry-1"] + "/metrics")
 	require.NoError(t, err)
 	defer res.Body.Close()
-	served, err := io.ReadAll(res.Body)
+	metrics, err := io.ReadAll(res.Body)
 	require.NoError(t, err)
 	for _, name := range regexp.MustCompile(`pollenbend_[a-z_]+`).FindAllString(readPage(t, "docs/OPERATING.md"), -1) {
-		require.Contains(t, "\n"+string(served), "\n# TYPE "+name+" ")
+		require.Contains(t, "\n"+string(metrics), "\n# TYPE "+name+" ")
 	}
 }
 
-// startAsTold starts an instance with the command of a page unless it runs already
-// in that way, and waits until it is ready.
-func (c *cell) startAsTold(command string) {
+// startFromPage checks that an instance runs with the command of a page, after starting
+// it if it isn't reachable, and waits until it is ready.
+func (c *cell) startFromPage(command string) {
 	c.t.Helper()
 	args := strings.Fields(command)[1:]
 	id := strings.TrimSuffix(args[len(args)-1], ".toml")
@@ -269,15 +271,15 @@
 	}
 	running := slices.Clone(c.procs[id].Args[1:])
 	running[len(running)-1] = filepath.Base(running[len(running)-1])
-	require.Equal(c.t, args, running, "the cell runs what the page says")
+	require.Equal(c.t, args, running, "the instance must run with the command of the page")
 	c.awaitReady(id)
 }
 
-// awaitSameVersion waits until every ready instance has the same configuration. Key
-// is an operator's.
+// awaitSameVersion waits until all ready instances have the same version of the
+// configuration. The key belongs to an operator.
 func (c *cell) awaitSameVersion(key string) {
 	c.t.Helper()
-	c.await("the same configuration everywhere", func() bool {
+	c.await("the same configuration at all ready instances", func() bool {
 		versions := map[uint64]bool{}
 		for id, url := range c.http {
 			if !reachable(url + "/readyz") {
@@ -386,19 +388,19 @@
 	}
 }
 
-// TestDocsArchitectureTellsWhatIsNotCalled compares the packages of the scheduler
-// that the binary does not hold with those that the page names.
-func TestDocsArchitectureTellsWhatIsNotCalled(t *testing.T) {
+// TestDocsArchitectureListsUncalledPackages checks that the page lists exactly those
+// packages of the scheduler that the binary does not depend on.
+func TestDocsArchitectureListsUncalledPackages(t *testing.T) {
 	list := exec.Command("go", "list", "-deps", "./cmd/pollenbend")
 	list.Dir = root
-	held, err := list.Output()
+	deps, err := list.Output()
 	require.NoError(t, err)
-	_, told, _ := strings.Cut(readPage(t, "docs/ARCHITECTURE.md"), "not yet called by an instance:")
-	told, _, _ = strings.Cut(told, "\n\n")
+	_, listed, _ := strings.Cut(readPage(t, "docs/ARCHITECTURE.md"), "not yet called by an instance:")
+	listed, _, _ = strings.Cut(listed, "\n\n")
 	for _, dir := range packages(t) {
 		if strings.HasPrefix(dir, "internal/scheduler/") {
-			called := strings.Contains(string(held), "pollenbend/"+dir+"\n")
-			require.Equal(t, !called, strings.Contains(told, "`"+dir+"`"), dir)
+			called := strings.Contains(string(deps), "pollenbend/"+dir+"\n")
+			require.Equal(t, !called, strings.Contains(listed, "`"+dir+"`"), dir)
 		}
 	}
 }
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -40,22 +40,22 @@
 	os.Exit(m.Run())
 }
 
-// patience bounds a wait for another process. It decides no verdict: what is
-// waited for either happens or the test cannot go on.
-const patience = 60 * time.Second
+// awaitTimeout limits how long await waits for another process. No verdict depends on
+// it: if the condition doesn't become true, the test can't continue.
+const awaitTimeout = 60 * time.Second
 
-// cell is a cell of separate processes.
+// cell is a cell of instances and stand-ins that run as separate processes.
 type cell struct {
 	t       testing.TB
 	example example.Example
 	dir     string
-	url     string // of the stand-ins
+	url     string // address of the stand-ins
 	procs   map[string]*exec.Cmd
-	http    map[string]string // by instance id
+	http    map[string]string // address by instance id
 	record  bool              // whether instances record their events
 }
 
-// recorded makes the instances of a cell record their events.
+// recorded is an option that makes the instances of a cell record their events.
 func recorded(c *cell) { c.record = true }
 
 func startCell(t testing.TB, name string, instances int, options ...func(*cell)) *cell {
@@ -123,14 +123,14 @@
 
 func (c *cell) await(what string, done func() bool) {
 	c.t.Helper()
-	deadline := time.NewTimer(patience)
+	deadline := time.NewTimer(awaitTimeout)
 	defer deadline.Stop()
 	poll := time.NewTicker(20 * time.Millisecond)
 	defer poll.Stop()
 	for !done() {
 		select {
 		case <-deadline.C:
-			require.FailNow(c.t, "gave up waiting for "+what)
+			require.FailNow(c.t, "timed out waiting for "+what)
 		case <-poll.C:
 		}
 	}
@@ -173,7 +173,7 @@
 	c.awaitSameVersion(c.example.OperatorSecret())
 }
 
-// starts returns how often the workers started each task, by their own history.
+// starts returns how often each task was started, according to the workers' history.
 func (c *cell) starts() map[model.TaskID]int {
 	c.t.Helper()
 	counts := make(map[model.TaskID]int)
@@ -203,7 +203,7 @@
 	}
 }
 
-// Ports below the range from which the system draws ports for outgoing
+// Ports in this range are below those that the system assigns to outgoing
 // connections.
 const (
 	minPort = 20000
@@ -273,8 +273,9 @@
 	require.Equal(t, verdict.NotRun, verdict.Of(err))
 }
 
-// TestRepeatAfterKill repeats requests by id after an instance was killed: each
-// must give the first answer again, and no worker may start a task twice.
+// TestRepeatAfterKill guards against tasks that run again when a caller repeats a
+// request after an instance was killed. Each repeat by id must return the first answer,
+// and no task may start twice.
 func TestRepeatAfterKill(t *testing.T) {
 	const calls = 30
 	c := startCell(t, "guild", 3)
@@ -289,10 +290,10 @@
 		first[id] = string(answer.Answer)
 	}
 	c.signal("entry-2", syscall.SIGKILL)
-	rest := c.client(c.example.Secret("dublin-desk"), "entry-1", "entry-3")
+	remaining := c.client(c.example.Secret("dublin-desk"), "entry-1", "entry-3")
 	for id, want := range first {
 		c.await("an answer to "+id, func() bool {
-			answer, err := rest.Call(context.Background(), call, client.Identity{IdempotencyKey: id})
+			answer, err := remaining.Call(context.Background(), call, client.Identity{IdempotencyKey: id})
 			if verdict.Of(err) == verdict.NotRun {
 				return false
 			}
@@ -308,8 +309,9 @@
 	}
 }
 
-// TestDrainCutsOffNothing drains one instance after another under load: every
-// request must be served exactly once.
+// TestDrainCutsOffNothing guards against requests that a planned stop aborts or repeats.
+// It drains one instance after another under load: every request must be served exactly
+// once.
 func TestDrainCutsOffNothing(t *testing.T) {
 	const callers = 8
 	c := startCell(t, "guild", 3)
@@ -319,7 +321,7 @@
 		before := load.served.Load()
 		c.await("requests served", func() bool { return t.Failed() || load.served.Load() > before+100 })
 		c.signal(id, syscall.SIGTERM)
-		require.NoError(t, c.procs[id].Wait(), "%s drains", id)
+		require.NoError(t, c.procs[id].Wait(), "exit of %s after its drain", id)
 		if id == "entry-1" {
 			c.serve(id)
 			c.awaitReady(id)
--- a/internal/e2e/http_test.go
+++ b/internal/e2e/http_test.go
@@ -23,7 +23,7 @@
 
 const refill = `{"queue": "dublin", "service": "refill-prompt", "payload": "refill due", "timeout": "20s"}`
 
-// post sends a request as it is and returns the status and the answer.
+// post sends body unchanged as a request and returns the status and the answer.
 func post(t *testing.T, url, key, id string, body io.Reader) (int, apiwire.Answer) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, url+"/v1/requests", body)
@@ -45,8 +45,8 @@
 	return res.StatusCode, a
 }
 
-// TestRefusalsByHTTP sends what callers get wrong. Each refusal says "not run",
-// and the workers started nothing of it.
+// TestRefusalsByHTTP sends requests with a caller's mistake to every instance. Each must
+// be refused with its code and the verdict "not run", and no worker may start a task.
 func TestRefusalsByHTTP(t *testing.T) {
 	c := startCell(t, "guild", 3)
 	c.apply()
@@ -80,8 +80,8 @@
 	require.Equal(t, map[model.TaskID]int{model.TaskIDOf("dublin-salons", "sound", 0): 1}, c.starts())
 }
 
-// TestHalfSentBody sends a part of a body, then either closes the connection or
-// waits for the answer. Neither starts anything, and the instance serves on.
+// TestHalfSentBody sends part of a body, then either closes the connection or waits for
+// the answer. Neither may start a task, and the instance must still serve requests.
 func TestHalfSentBody(t *testing.T) {
 	c := startCell(t, "guild", 3)
 	c.apply()
@@ -108,8 +108,8 @@
 	require.Equal(t, http.StatusOK, status, a.Message)
 }
 
-// TestWithdrawnKey withdraws a key at one instance. Every instance refuses it
-// soon, and from then on always.
+// TestWithdrawnKey withdraws a key at one instance. Every instance must soon refuse the
+// key, and must not accept it again.
 func TestWithdrawnKey(t *testing.T) {
 	c := startCell(t, "guild", 3)
 	c.apply()
@@ -143,8 +143,9 @@
 	t.Logf("refused everywhere %s after the change was accepted", time.Since(accepted).Round(time.Millisecond))
 }
 
-// TestLogOutage takes the log away. Calls go on; jobs and changes are not done, and
-// no refusal claims more than is known. When the log is back, the same ids work.
+// TestLogOutage makes the log unavailable. Calls must still be served. Jobs and changes
+// must be refused, without the verdict "done". When the log is available again, the same
+// ids must be accepted.
 func TestLogOutage(t *testing.T) {
 	c := startCell(t, "guild", 3)
 	c.apply()
@@ -175,7 +176,7 @@
 	c.await("the change in force at every instance", func() bool { return c.declaredEverywhere("new-salons") })
 }
 
-// declaredEverywhere reports whether every instance's declarations name something.
+// declaredEverywhere reports whether the declarations of every instance contain name.
 func (c *cell) declaredEverywhere(name string) bool {
 	for _, id := range c.ids() {
 		now, err := c.client(c.example.OperatorSecret(), id).Config(context.Background())
@@ -186,7 +187,7 @@
 	return true
 }
 
-// fault gives the stand-ins a scripted fault.
+// fault sets the faults that the stand-ins inject.
 func (c *cell) fault(body string) {
 	c.t.Helper()
 	res, err := http.Post(c.url+"/fault", "application/json", strings.NewReader(body))
--- a/internal/e2e/load_test.go
+++ b/internal/e2e/load_test.go
@@ -17,38 +17,39 @@
 	"pollenbend/internal/verdict"
 )
 
-// load is a number of desks that each send one request after another through the
-// instances that say they are ready, as the platform's balancer would. The
-// requests must not be repeated, so each goes under a ticket. A refusal that says
-// "not run" is asked again under the same ticket.
+// load is a number of callers that each send requests in sequence through ready
+// instances, as the platform's load balancer would choose them. The requests must not
+// be repeated, so each has a ticket. A request that is refused with "not run" is sent
+// again with the same ticket.
 type load struct {
-	cell       *cell
-	clients    map[string]*client.Client
-	probe      *http.Client
-	allowDoubt bool
-	cancel     context.CancelFunc
-	group      sync.WaitGroup
+	cell           *cell
+	clients        map[string]*client.Client
+	probe          *http.Client
+	allowUncertain bool
+	cancel         context.CancelFunc
+	group          sync.WaitGroup
 
-	served  atomic.Int64
-	refused atomic.Int64 // answers "not run"
-	inDoubt atomic.Int64 // final answers "may have run"
+	served    atomic.Int64
+	refused   atomic.Int64 // answers with the verdict "not run"
+	uncertain atomic.Int64 // final answers with the verdict "may have run"
 
 	mu      sync.Mutex
 	results map[string]result
 }
 
-// result is the final answer of one request.
+// result is the outcome of one request.
 type result struct{ done bool }
 
-// probeTimeout is how long the balancer waits for /readyz.
+// probeTimeout is the timeout of a readiness probe of /readyz.
 const probeTimeout = 200 * time.Millisecond
 
-// startLoad starts the desks. Without allowDoubt, "may have run" fails the test.
-func (c *cell) startLoad(callers int, allowDoubt bool) *load {
+// startLoad starts the callers. Without allowUncertain, an answer "may have run" fails
+// the test.
+func (c *cell) startLoad(callers int, allowUncertain bool) *load {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &load{
 		cell: c, clients: make(map[string]*client.Client), probe: &http.Client{Timeout: probeTimeout},
-		allowDoubt: allowDoubt, cancel: cancel, results: make(map[string]result),
+		allowUncertain: allowUncertain, cancel: cancel, results: make(map[string]result),
 	}
 	for id, url := range c.http {
 		cl, err := client.New(client.Config{
@@ -58,31 +59,32 @@
 		l.clients[id] = cl
 	}
 	for i := range callers {
-		l.group.Go(func() { l.desk(ctx, i) })
+		l.group.Go(func() { l.runCaller(ctx, i) })
 	}
 	c.t.Cleanup(l.stop)
 	return l
 }
 
-// stop lets every desk finish its request.
+// stop makes every caller finish its request and waits for it.
 func (l *load) stop() {
 	l.cancel()
 	l.group.Wait()
 }
 
-func (l *load) answered() int64 { return l.served.Load() + l.inDoubt.Load() }
+func (l *load) answered() int64 { return l.served.Load() + l.uncertain.Load() }
 
-// verdicts returns the final answers so far by request id.
+// verdicts returns the outcomes so far by request id.
 func (l *load) verdicts() map[string]result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.results
 }
 
-func (l *load) desk(ctx context.Context, number int) {
+// runCaller sends requests in sequence until ctx is done or the test has failed.
+func (l *load) runCaller(ctx context.Context, number int) {
 	rng := rand.New(rand.NewPCG(uint64(number), 1))
 	for ctx.Err() == nil && !l.cell.t.Failed() {
-		tickets, err := l.pick(rng).Tickets(context.Background(), "cork", 1)
+		tickets, err := l.pickReady(rng).Tickets(context.Background(), "cork", 1)
 		if err != nil {
 			continue
 		}
@@ -94,13 +96,13 @@
 	}
 }
 
-// request asks until there is a final answer and reports whether the request is
+// request sends a request until it has a final answer, and reports whether it is
 // done.
 func (l *load) request(id string, rng *rand.Rand) bool {
 	payload := json.RawMessage(fmt.Sprintf("%q", id))
 	call := apiwire.Call{Queue: "cork", Service: "refill-prompt", Payload: payload, Timeout: "20s"}
 	for {
-		answer, err := l.pick(rng).Call(context.Background(), call, client.Identity{Ticket: id})
+		answer, err := l.pickReady(rng).Call(context.Background(), call, client.Identity{Ticket: id})
 		switch v := verdict.Of(err); {
 		case err == nil && answer.Verdict == verdict.Done:
 			l.checkEcho(id, payload, answer)
@@ -108,11 +110,11 @@
 			return true
 		case v == verdict.NotRun:
 			l.refused.Add(1)
-		case l.allowDoubt && answer == nil:
-			// The answer was lost on the way: ask again by id.
+		case l.allowUncertain && answer == nil:
+			// The answer was lost in transit; send the request again with the same ticket.
 		default:
-			l.inDoubt.Add(1)
-			if !l.allowDoubt {
+			l.uncertain.Add(1)
+			if !l.allowUncertain {
 				l.cell.t.Errorf("request %s: %+v, %v", id, answer, err)
 			}
 			return false
@@ -125,11 +127,12 @@
 		Echo []byte `json:"echo"`
 	}
 	if err := json.Unmarshal(answer.Answer, &echo); err != nil || string(echo.Echo) != string(payload) {
-		l.cell.t.Errorf("request %s has another's answer: %s", id, answer.Answer)
+		l.cell.t.Errorf("request %s got the answer to another request: %s", id, answer.Answer)
 	}
 }
 
-func (l *load) pick(rng *rand.Rand) *client.Client {
+// pickReady returns the client of a random instance whose readiness probe succeeds.
+func (l *load) pickReady(rng *rand.Rand) *client.Client {
 	ids := l.cell.ids()
 	for {
 		id := ids[rng.IntN(len(ids))]
--- a/internal/e2e/record_test.go
+++ b/internal/e2e/record_test.go
@@ -17,8 +17,9 @@
 	"pollenbend/internal/verdict"
 )
 
-// TestRecordedInstanceReplaysItsAnswers lets two instances record while they serve
-// requests, and compares the replay with what the callers heard.
+// TestRecordedInstanceReplaysItsAnswers records two instances while they serve requests.
+// The replay of each record must give the answers that the callers received, and the
+// record must not contain the caller's secret.
 func TestRecordedInstanceReplaysItsAnswers(t *testing.T) {
 	const calls = 10
 	c := startCell(t, "guild", 2, recorded)
--- a/internal/e2e/signal_test.go
+++ b/internal/e2e/signal_test.go
@@ -6,6 +6,7 @@
 	"syscall"
 )
 
+// signalContext returns a context that SIGTERM cancels.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM)
 }
