--- a/internal/scenario/commands_test.go
+++ b/internal/scenario/commands_test.go
@@ -9,7 +9,7 @@
 	"pollenbend/internal/testcell"
 )
 
-// commands are the commands of the scripts besides those of testscript.
+// commands holds the commands that scripts have in addition to those of testscript.
 var commands = map[string]func(*state, *arguments) error{
 	"seed": func(s *state, a *arguments) error {
 		*s = *newState(uint64(a.number(a.word(0))), s.tamper)
@@ -24,7 +24,7 @@
 	"start":         start,
 	"call":          call,
 	"calls":         calls,
-	"again":         again,
+	"again":         repeatCall,
 	"revive":        revive,
 	"status":        status,
 	"cancel":        cancel,
@@ -67,7 +67,7 @@
 	},
 	"expect-drained": func(s *state, a *arguments) error {
 		if !s.cell.Drained(a.instance(0)) {
-			return fmt.Errorf("%s has requests left", a.word(0))
+			return fmt.Errorf("instance %s still has open requests", a.word(0))
 		}
 		return a.err
 	},
@@ -87,7 +87,7 @@
 	}
 }
 
-// isolate cuts an instance from all others.
+// isolate cuts the connections between an instance and all others.
 func isolate(s *state, a *arguments) error {
 	for _, other := range s.cell.Instances() {
 		if other != a.instance(0) {
@@ -105,7 +105,7 @@
 	return a.err
 }
 
-// declareTeam declares a team with a limit and a key, both named like the team.
+// declareTeam declares a team with a limit, a key of the same name, and an open queue.
 func declareTeam(s *state, a *arguments) error {
 	team := model.TeamID(a.text("team", ""))
 	s.cell.Declare(model.Declarations{
@@ -116,7 +116,8 @@
 	return a.err
 }
 
-// start starts the cell and waits until its shards and workers are taken.
+// start starts the cell and waits until its shards have owners and its workers have
+// lease holders.
 func start(s *state, a *arguments) error {
 	s.cell.Start()
 	s.cell.Advance(8 * time.Second)
@@ -154,13 +155,13 @@
 	got := s.cell.Do(via, model.TeamID(a.text("team", "")), model.Request{Op: model.OpTicket, Key: key, Count: 1})
 	s.cell.Advance(100 * time.Millisecond)
 	if len(got.Answers) == 0 || len(got.Answers[0].Answer.Tickets) != 1 {
-		return "", nil // a call without an id gets one
+		return "", nil // a call without an id gets one from the cell
 	}
 	return got.Answers[0].Answer.Tickets[0], nil
 }
 
-// calls sends many calls, through all instances in turn, named by prefix and
-// number.
+// calls sends several calls through all instances in turn. A call's name is the
+// prefix and its number.
 func calls(s *state, a *arguments) error {
 	instances := s.cell.Instances()
 	prefix := a.word(1)
@@ -177,8 +178,8 @@
 	return a.err
 }
 
-// again repeats a call by its id.
-func again(s *state, a *arguments) error {
+// repeatCall sends a call again under its id.
+func repeatCall(s *state, a *arguments) error {
 	first, ok := s.calls[a.word(0)]
 	if !ok || first.ID() == "" {
 		return a.err
@@ -189,7 +190,7 @@
 	return a.err
 }
 
-// revive ends every pause and starts every dead instance.
+// revive resumes all paused instances and restarts all that were killed.
 func revive(s *state, _ *arguments) error {
 	for _, id := range s.cell.Instances() {
 		s.cell.Wake(id)
@@ -200,7 +201,8 @@
 	return nil
 }
 
-func about(s *state, a *arguments, op model.Op) error {
+// requestAbout sends a status or cancel request for an earlier call.
+func requestAbout(s *state, a *arguments, op model.Op) error {
 	first, ok := s.calls[a.word(0)]
 	if !ok || first.ID() == "" {
 		return a.err
@@ -210,10 +212,10 @@
 	return a.err
 }
 
-func status(s *state, a *arguments) error { return about(s, a, model.OpStatus) }
-func cancel(s *state, a *arguments) error { return about(s, a, model.OpCancel) }
+func status(s *state, a *arguments) error { return requestAbout(s, a, model.OpStatus) }
+func cancel(s *state, a *arguments) error { return requestAbout(s, a, model.OpCancel) }
 
-// apply changes a team's limit, or gives or withdraws a key.
+// apply changes a team's limit, or adds or withdraws a key.
 func apply(s *state, a *arguments) error {
 	c := &model.Change{ID: a.text("change", ""), Base: uint64(a.number(a.text("base", fmt.Sprint(s.cell.Version()))))}
 	if team := model.TeamID(a.text("team", "")); team != "" && a.named["limit"] != "" {
@@ -230,14 +232,14 @@
 	return a.err
 }
 
-// advance lets time pass. It checks the promises as it goes.
+// advance advances the virtual time and checks the promises after every second.
 func advance(s *state, a *arguments) error {
-	const stride = time.Second
-	left := a.duration(a.word(0))
-	for left > 0 && a.err == nil {
-		step := min(left, stride)
+	const checkInterval = time.Second
+	remaining := a.duration(a.word(0))
+	for remaining > 0 && a.err == nil {
+		step := min(remaining, checkInterval)
 		s.cell.Advance(step)
-		left -= step
+		remaining -= step
 		if err := s.check(); err != nil {
 			return err
 		}
@@ -263,7 +265,7 @@
 	return a.err
 }
 
-// expectSame wants the same body in the answers to two calls.
+// expectSame requires that the answers to two calls have the same body.
 func expectSame(s *state, a *arguments) error {
 	first, err := s.call(a.word(0))
 	if err != nil {
@@ -273,7 +275,7 @@
 	if err != nil {
 		return err
 	}
-	if !settled(first) || !settled(second) || string(first.Answers[0].Answer.Body) != string(second.Answers[0].Answer.Body) {
+	if !hasFinalVerdict(first) || !hasFinalVerdict(second) || string(first.Answers[0].Answer.Body) != string(second.Answers[0].Answer.Body) {
 		return fmt.Errorf("calls %s and %s have different answers", a.word(0), a.word(1))
 	}
 	return a.err
@@ -282,16 +284,16 @@
 func workerFault(s *state, a *arguments) error {
 	if a.word(1) == "all" {
 		for _, id := range s.cell.Workers() {
-			if err := faultOf(s, a, id); err != nil {
+			if err := injectWorkerFault(s, a, id); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	return faultOf(s, a, a.worker(1))
+	return injectWorkerFault(s, a, a.worker(1))
 }
 
-func faultOf(s *state, a *arguments, id model.WorkerID) error {
+func injectWorkerFault(s *state, a *arguments, id model.WorkerID) error {
 	switch a.word(0) {
 	case "ok":
 		s.cell.WorkerFaults(id, standin.WorkerFaults{})
--- a/internal/scenario/determinism_test.go
+++ b/internal/scenario/determinism_test.go
@@ -10,10 +10,11 @@
 	"pollenbend/internal/testcell"
 )
 
-// TestSchedulesRepeat wants the same actions from the same seed.
+// TestSchedulesRepeat runs schedules twice and requires the same actions from the same
+// seed. Without this, a failure could not be reproduced from its seed.
 func TestSchedulesRepeat(t *testing.T) {
 	for seed := uint64(10112); seed <= 10114; seed++ {
-		first, second := record(seed), record(seed)
+		first, second := recordActions(seed), recordActions(seed)
 		for i := range min(len(first), len(second)) {
 			require.Equal(t, first[i], second[i], "seed %d, action %d", seed, i)
 		}
@@ -21,19 +22,19 @@
 	}
 }
 
-// step is an action of an instance.
-type step struct {
+// recordedAction is an action and the instance that returned it.
+type recordedAction struct {
 	at     model.InstanceID
 	action event.Action
 }
 
-func record(seed uint64) []step {
-	var steps []step
-	_ = draw(seed).run(func(*testcell.Cell) testcell.Tamper {
+func recordActions(seed uint64) []recordedAction {
+	var actions []recordedAction
+	_ = generate(seed).run(func(*testcell.Cell) testcell.Tamper {
 		return fault{action: func(at model.InstanceID, a event.Action) []event.Action {
-			steps = append(steps, step{at, a})
+			actions = append(actions, recordedAction{at, a})
 			return []event.Action{a}
 		}}
 	})
-	return steps
+	return actions
 }
--- a/internal/scenario/doc.go
+++ b/internal/scenario/doc.go
@@ -1,3 +1,3 @@
-// Package scenario holds scripted failures and random fault schedules, run
-// against several decision cores in virtual time.
+// Package scenario tests several decision cores in virtual time, under scripted
+// failures and under random schedules of faults.
 package scenario
--- a/internal/scenario/gang_random_test.go
+++ b/internal/scenario/gang_random_test.go
@@ -13,8 +13,9 @@
 	gangSeeds = 17
 )
 
-// TestGangRandom starts gangs that compete while an instance dies at a random
-// moment of their start. No gang may stay partly started, and all must end.
+// TestGangRandom guards against gangs that stay partly started. It submits gangs that
+// compete for workers and kills an instance at a random moment of their start. Every
+// gang must run as a whole or not at all, and all must end.
 func TestGangRandom(t *testing.T) {
 	t.Logf("seeds %d to %d", gangSeed, gangSeed+gangSeeds-1)
 	for i := range uint64(gangSeeds) {
--- a/internal/scenario/gang_test.go
+++ b/internal/scenario/gang_test.go
@@ -22,16 +22,16 @@
 	}
 }
 
-// expectGang compares how many tasks of a gang run now, and how often any of them
-// was started, with what is wanted.
+// expectGang checks the number of tasks of a gang that are running and the number of
+// starts of its tasks so far.
 func expectGang(s *state, a *arguments) error {
 	c, err := s.call(a.word(0))
 	if err != nil {
 		return err
 	}
-	running, starts := gangHistory(s.cell, c)
+	running, starts := countGangTasks(s.cell, c)
 	if want := a.text("running", fmt.Sprint(running)); want != fmt.Sprint(running) {
-		return fmt.Errorf("gang %s: %d tasks run, want %s", a.word(0), running, want)
+		return fmt.Errorf("gang %s: %d tasks are running, want %s", a.word(0), running, want)
 	}
 	if want := a.text("starts", fmt.Sprint(starts)); want != fmt.Sprint(starts) {
 		return fmt.Errorf("gang %s: %d starts, want %s", a.word(0), starts, want)
@@ -39,7 +39,9 @@
 	return a.err
 }
 
-func gangHistory(cell *testcell.Cell, c *testcell.Call) (running, starts int) {
+// countGangTasks returns the number of tasks of c that are running and the number of
+// their starts so far.
+func countGangTasks(cell *testcell.Cell, c *testcell.Call) (running, starts int) {
 	member := make(map[model.TaskID]bool)
 	for i := range c.Request.Count {
 		member[model.TaskIDOf(c.Team, c.ID(), i)] = true
@@ -57,7 +59,7 @@
 	return running, starts
 }
 
-// expectWhy wants a text in the explanation why a job waits.
+// expectWhy requires that the explanation why a job waits contains a text.
 func expectWhy(s *state, a *arguments) error {
 	first, err := s.call(a.word(0))
 	if err != nil {
@@ -66,25 +68,25 @@
 	got := s.cell.Do("entry-1", first.Team, model.Request{Op: model.OpStatus, Key: first.Request.Key, ID: first.ID(), Why: true})
 	s.cell.Advance(100 * time.Millisecond)
 	if len(got.Answers) == 0 || !strings.Contains(string(got.Answers[0].Answer.Body), a.word(1)) {
-		return fmt.Errorf("gang %s: no %s in %+v", a.word(0), a.word(1), got.Answers)
+		return fmt.Errorf("gang %s: %q is not in the explanation: %+v", a.word(0), a.word(1), got.Answers)
 	}
 	return a.err
 }
 
-// expectWhole wants all tasks of a gang to run, none, or, after a second in which
-// some may have come or gone, again all or none.
+// expectWhole requires that all tasks of a gang are running or none. If only some are,
+// they may be starting or ending: then the check is repeated once after a second.
 func expectWhole(s *state, a *arguments) error {
 	c, err := s.call(a.word(0))
 	if err != nil {
 		return err
 	}
-	running, _ := gangHistory(s.cell, c)
+	running, _ := countGangTasks(s.cell, c)
 	if running == 0 || running == c.Request.Count {
 		return a.err
 	}
 	s.cell.Advance(time.Second)
-	if running, _ = gangHistory(s.cell, c); running != 0 && running != c.Request.Count {
-		return fmt.Errorf("gang %s: %d of %d tasks run", a.word(0), running, c.Request.Count)
+	if running, _ = countGangTasks(s.cell, c); running != 0 && running != c.Request.Count {
+		return fmt.Errorf("gang %s: only %d of %d tasks are running", a.word(0), running, c.Request.Count)
 	}
 	return a.err
 }
--- a/internal/scenario/mutation_test.go
+++ b/internal/scenario/mutation_test.go
@@ -18,15 +18,16 @@
 	"pollenbend/internal/wire"
 )
 
-// mutant is a planted fault and the promises that it breaks.
+// mutant is a fault planted into the cell and the promises that it breaks.
 type mutant struct {
 	name   string
-	script string // that catches it
-	breaks []testcell.Promise
+	script string             // the script that detects it
+	breaks []testcell.Promise // the check must report one of these
 	tamper func(*testcell.Cell) fault
 }
 
-// fault alters what enters and leaves the cores. Nil functions change nothing.
+// fault alters the events and actions of the cores and the starts that reach workers.
+// Nil functions alter nothing.
 type fault struct {
 	event  func(at model.InstanceID, e event.Event) event.Event
 	action func(at model.InstanceID, a event.Action) []event.Action
@@ -57,16 +58,16 @@
 	return f.start(at, r)
 }
 
-// TestMutants plants one fault at a time and wants the checker to find a broken
-// promise.
+// TestMutants guards against checks that pass whatever the cores do. It plants one
+// fault at a time and requires that the checker reports a promise that it breaks.
 func TestMutants(t *testing.T) {
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
 			s := readScript(t, m.script)
 			plant := func(c *testcell.Cell) testcell.Tamper { return m.tamper(c) }
-			err := s.broken(plant)
-			require.Contains(t, m.breaks, testcell.Promise(kindOf(err)), "%s does not catch this: %v", m.script, err)
-			t.Logf("caught by %s:\n%s%v", m.script, s, err)
+			err := s.failure(plant)
+			require.Contains(t, m.breaks, testcell.Promise(kindOf(err)), "%s does not detect this fault: %v", m.script, err)
+			t.Logf("detected by %s:\n%s%v", m.script, s, err)
 		})
 	}
 }
@@ -184,7 +185,7 @@
 		}),
 	},
 	{
-		name:   "doubt is told as not run",
+		name:   "an uncertain outcome is reported as not run",
 		script: "worker_restarted_not_repeated",
 		breaks: []testcell.Promise{testcell.PromiseNotRun},
 		tamper: onAnswer(func(a model.Answer) []model.Answer {
@@ -195,7 +196,7 @@
 		}),
 	},
 	{
-		name:   "answers are crossed",
+		name:   "answers go to the wrong requests",
 		script: "no_failure_every_call_is_done",
 		breaks: []testcell.Promise{testcell.PromiseDone},
 		tamper: func(*testcell.Cell) fault {
@@ -226,7 +227,7 @@
 		}),
 	},
 	{
-		name:   "the list's leaving marks are ignored",
+		name:   "leaving marks in the worker list are ignored",
 		script: "leaving_worker_gets_no_new_work",
 		breaks: []testcell.Promise{testcell.PromiseLeaving},
 		tamper: onEvent(func(_ model.InstanceID, e event.Event) event.Event {
@@ -242,7 +243,7 @@
 		}),
 	},
 	{
-		name:   "cut answers are taken for whole ones",
+		name:   "truncated answers are treated as complete",
 		script: "worker_cuts_answers_none_is_passed_on",
 		breaks: []testcell.Promise{testcell.PromiseDone},
 		tamper: onEvent(func(_ model.InstanceID, e event.Event) event.Event {
@@ -271,7 +272,8 @@
 	},
 }
 
-// withoutChanges leaves every change after the first entry out.
+// withoutChanges removes the configuration changes from all entries but the one at
+// offset 1.
 func withoutChanges(entries []platform.Entry) []platform.Entry {
 	entries = slices.Clone(entries)
 	for i, e := range entries {
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -11,8 +11,8 @@
 	schedulesFlag = flag.Int("schedules", 20, "number of random schedules")
 )
 
-// TestRandomSchedules checks the promises through failures drawn at random, one
-// schedule for each seed from -seed on.
+// TestRandomSchedules checks the promises under random failures, with one schedule for
+// each seed from -seed on. It shortens a schedule that fails.
 func TestRandomSchedules(t *testing.T) {
 	t.Logf("seeds %d to %d", *seedFlag, *seedFlag+uint64(*schedulesFlag)-1)
 	for i := range uint64(*schedulesFlag) {
@@ -24,13 +24,13 @@
 }
 
 func checkSchedule(t *testing.T, seed uint64) {
-	s := draw(seed)
+	s := generate(seed)
 	err := s.run(nil)
 	if err == nil {
 		return
 	}
 	t.Errorf("seed %d: %v", seed, err)
 	if shorter := s.shrink(nil); len(shorter) < len(s) {
-		t.Logf("shortened:\n%s%v", shorter, shorter.broken(nil))
+		t.Logf("shortened schedule:\n%s%v", shorter, shorter.failure(nil))
 	}
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -17,11 +17,11 @@
 	"pollenbend/internal/verdict"
 )
 
-// scenarioSeed is the seed of the scenarios; a script may set another.
+// scenarioSeed is the default seed of the scenarios. A script may set another.
 const scenarioSeed = 1
 
-// TestScenario runs the scripts in testdata, each named for its failure and the
-// promise that must hold through it.
+// TestScenario runs the scripts in testdata. Each is named for a failure and the
+// promise that must hold under it.
 func TestScenario(t *testing.T) {
 	runScripts(t, "testdata")
 }
@@ -56,17 +56,17 @@
 
 type stateKey struct{}
 
-// state is what one script has built.
+// state is the state of one script: its cell and its calls by name.
 type state struct {
 	cell   *testcell.Cell
 	calls  map[string]*testcell.Call
-	tamper tamperer
+	tamper tamperFunc
 }
 
-// tamperer plants a fault into a cell; nil plants none.
-type tamperer func(*testcell.Cell) testcell.Tamper
+// tamperFunc returns the fault to plant into a cell. A nil function plants none.
+type tamperFunc func(*testcell.Cell) testcell.Tamper
 
-func newState(seed uint64, tamper tamperer) *state {
+func newState(seed uint64, tamper tamperFunc) *state {
 	s := &state{cell: testcell.New(testcell.Options{Seed: seed}), calls: make(map[string]*testcell.Call), tamper: tamper}
 	if tamper != nil {
 		s.cell.SetTamper(tamper(s.cell))
@@ -74,7 +74,8 @@
 	return s
 }
 
-// arguments are the words of a command, and its name=value words.
+// arguments holds the plain words of a command and its name=value words. The first
+// error in reading them is kept in err.
 type arguments struct {
 	words []string
 	named map[string]string
@@ -97,7 +98,7 @@
 	if i < len(a.words) {
 		return a.words[i]
 	}
-	a.fail("word %d is missing", i+1)
+	a.fail("argument %d is missing", i+1)
 	return ""
 }
 
@@ -141,7 +142,7 @@
 	return model.Key{Name: name, Team: team, Scope: model.ScopeTeam, SHA256: declare.HashSecret(secretOf(name))}
 }
 
-// check returns an error that names every broken promise.
+// check returns an error that lists all broken promises, or nil.
 func (s *state) check() error {
 	var lines []string
 	found := s.cell.Check()
@@ -151,13 +152,13 @@
 	if len(lines) == 0 {
 		return nil
 	}
-	return brokenError{fmt.Errorf("%d promises broken:\n%s", len(lines), strings.Join(lines, "\n")), string(found[0].Promise)}
+	return failureError{fmt.Errorf("%d broken promises:\n%s", len(lines), strings.Join(lines, "\n")), string(found[0].Promise)}
 }
 
 func (s *state) call(name string) (*testcell.Call, error) {
 	call, ok := s.calls[name]
 	if !ok {
-		return nil, fmt.Errorf("no call %q", name)
+		return nil, fmt.Errorf("unknown call %q", name)
 	}
 	return call, nil
 }
@@ -186,8 +187,8 @@
 	if len(call.Answers) > 0 {
 		detail = fmt.Sprintf("%+v", call.Answers[0].Answer)
 	}
-	return brokenError{fmt.Errorf("call %s: got %s, want %s %s", name, got, strings.Join(wanted, " or "), detail), "an expected verdict"}
+	return failureError{fmt.Errorf("call %s: got %s, want %s %s", name, got, strings.Join(wanted, " or "), detail), "an expected verdict"}
 }
 
-// settled reports whether a call has its final verdict.
-func settled(call *testcell.Call) bool { return call.Verdict() != verdict.Pending }
+// hasFinalVerdict reports whether a call has its final verdict.
+func hasFinalVerdict(call *testcell.Call) bool { return call.Verdict() != verdict.Pending }
--- a/internal/scenario/schedule_test.go
+++ b/internal/scenario/schedule_test.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-// schedule is a script drawn at random. It has the form of the scripts in
-// testdata, so that one that fails can be kept there.
+// schedule is a randomly generated script. It has the form of the scripts in testdata,
+// so that a schedule that fails can be stored there.
 type schedule []string
 
 func (s schedule) String() string { return strings.Join(s, "\n") + "\n" }
 
-// brokenError tells that a promise was broken or an expectation not met.
-type brokenError struct {
+// failureError reports broken promises or an expectation that was not met. Its kind is
+// the first broken promise, or names the kind of expectation.
+type failureError struct {
 	error
 	kind string
 }
 
-// run runs a schedule. A brokenError tells what failed; any other error means
-// that the schedule itself makes no sense.
-func (s schedule) run(tamper tamperer) error {
+// run runs a schedule. It returns a failureError for a broken promise or an unmet
+// expectation; any other error means that the schedule itself is invalid.
+func (s schedule) run(tamper tamperFunc) error {
 	st := newState(scenarioSeed, tamper)
 	for _, line := range s {
 		words := strings.Fields(line)
@@ -38,7 +39,8 @@
 	return nil
 }
 
-func (s schedule) broken(tamper tamperer) error {
+// failure runs a schedule and returns its failureError, or nil for any other outcome.
+func (s schedule) failure(tamper tamperFunc) error {
 	err := s.run(tamper)
 	if kindOf(err) == "" {
 		return nil
@@ -46,12 +48,12 @@
 	return err
 }
 
-// shrink leaves out lines between the start and the recovery while the schedule
+// shrink removes lines between the start and the recovery for as long as the schedule
 // still fails in the same way.
-func (s schedule) shrink(tamper tamperer) schedule {
-	want := kindOf(s.broken(tamper))
+func (s schedule) shrink(tamper tamperFunc) schedule {
+	want := kindOf(s.failure(tamper))
 	for size := len(s) / 2; size > 0; {
-		shorter := s.without(size, want, tamper)
+		shorter := s.removeLines(size, want, tamper)
 		if len(shorter) == len(s) {
 			size /= 2
 		}
@@ -60,11 +62,13 @@
 	return s
 }
 
-func (s schedule) without(size int, want string, tamper tamperer) schedule {
+// removeLines removes each group of size lines without which the failure is still of
+// kind want.
+func (s schedule) removeLines(size int, want string, tamper tamperFunc) schedule {
 	for i := slices.Index(s, "start") + 1; i+size <= len(s)-recoveryLines; {
-		rest := slices.Concat(s[:i], s[i+size:])
-		if kindOf(rest.broken(tamper)) == want {
-			s = rest
+		shorter := slices.Concat(s[:i], s[i+size:])
+		if kindOf(shorter.failure(tamper)) == want {
+			s = shorter
 		} else {
 			i += size
 		}
@@ -72,40 +76,39 @@
 	return s
 }
 
-// kindOf returns the first promise that an error names, or the first words of an
-// expectation that was not met.
+// kindOf returns the kind of a failureError, or an empty string for any other error.
 func kindOf(err error) string {
-	var b brokenError
+	var b failureError
 	if !errors.As(err, &b) {
 		return ""
 	}
 	return b.kind
 }
 
-// draw draws the schedule of a seed.
-func draw(seed uint64) schedule {
-	d := &drawer{rng: rand.New(rand.NewPCG(seed, 2))}
-	d.line("seed %d", seed)
-	d.instances = 3 + d.rng.IntN(3)
-	d.workers = 1 + d.rng.IntN(6)
-	d.line("instances %d", d.instances)
-	d.line("workers %d slots=%d", d.workers, 1+d.rng.IntN(4))
-	d.line("declare team=a limit=%d", d.rng.IntN(6))
-	d.line("declare team=b limit=%d", d.rng.IntN(6))
-	d.line("start")
-	for range 8 + d.rng.IntN(16) {
-		d.load()
-		for range d.rng.IntN(3) {
-			d.fault()
+// generate returns the schedule of a seed.
+func generate(seed uint64) schedule {
+	g := &generator{rng: rand.New(rand.NewPCG(seed, 2))}
+	g.line("seed %d", seed)
+	g.instances = 3 + g.rng.IntN(3)
+	g.workers = 1 + g.rng.IntN(6)
+	g.line("instances %d", g.instances)
+	g.line("workers %d slots=%d", g.workers, 1+g.rng.IntN(4))
+	g.line("declare team=a limit=%d", g.rng.IntN(6))
+	g.line("declare team=b limit=%d", g.rng.IntN(6))
+	g.line("start")
+	for range 8 + g.rng.IntN(16) {
+		g.load()
+		for range g.rng.IntN(3) {
+			g.fault()
 		}
-		d.line("advance %v", d.pick(50, 200, 1000, 3000, 6000))
+		g.line("advance %v", g.duration(50, 200, 1000, 3000, 6000))
 	}
-	d.recover()
-	return d.lines
+	g.recover()
+	return g.lines
 }
 
-// drawer draws the lines of a schedule.
-type drawer struct {
+// generator generates the lines of a schedule.
+type generator struct {
 	rng       *rand.Rand
 	lines     schedule
 	instances int
@@ -114,124 +117,125 @@
 	changes   int
 }
 
-func (d *drawer) line(format string, args ...any) {
-	d.lines = append(d.lines, fmt.Sprintf(format, args...))
+func (g *generator) line(format string, args ...any) {
+	g.lines = append(g.lines, fmt.Sprintf(format, args...))
 }
 
-func (d *drawer) pick(ms ...int) time.Duration {
-	return time.Duration(1+d.rng.IntN(2*ms[d.rng.IntN(len(ms))])) * time.Millisecond
+// duration returns a random duration of up to twice one of ms, in milliseconds.
+func (g *generator) duration(ms ...int) time.Duration {
+	return time.Duration(1+g.rng.IntN(2*ms[g.rng.IntN(len(ms))])) * time.Millisecond
 }
 
-func (d *drawer) instance() string { return fmt.Sprintf("entry-%d", 1+d.rng.IntN(d.instances)) }
-func (d *drawer) worker() string   { return fmt.Sprintf("w%d", 1+d.rng.IntN(d.workers)) }
-func (d *drawer) of(words ...string) string {
-	return words[d.rng.IntN(len(words))]
+func (g *generator) instance() string { return fmt.Sprintf("entry-%d", 1+g.rng.IntN(g.instances)) }
+func (g *generator) worker() string   { return fmt.Sprintf("w%d", 1+g.rng.IntN(g.workers)) }
+func (g *generator) choose(words ...string) string {
+	return words[g.rng.IntN(len(words))]
 }
 
-// load draws calls, repeats of earlier ones and cancellations.
-func (d *drawer) load() {
-	run, timeout := d.pick(20, 300, 3000), d.of("1s", "5s", "15s", "25s")
-	options := fmt.Sprintf("team=%s run=%v timeout=%s repeatable=%s", d.of("a", "b"), run, timeout, d.of("true", "false"))
-	switch d.rng.IntN(6) {
+// load adds calls, repeats of earlier ones, status requests and cancellations.
+func (g *generator) load() {
+	run, timeout := g.duration(20, 300, 3000), g.choose("1s", "5s", "15s", "25s")
+	options := fmt.Sprintf("team=%s run=%v timeout=%s repeatable=%s", g.choose("a", "b"), run, timeout, g.choose("true", "false"))
+	switch g.rng.IntN(6) {
 	case 0:
-		d.calls++
-		d.line("call name=t%d-1 ticket=%s via=%s %s", d.calls, d.instance(), d.instance(), options)
+		g.calls++
+		g.line("call name=t%d-1 ticket=%s via=%s %s", g.calls, g.instance(), g.instance(), options)
 	case 1:
-		if d.calls > 0 {
-			first := 1 + d.rng.IntN(d.calls)
-			d.line("again c%d-1 via=%s timeout=%s", first, d.instance(), timeout)
+		if g.calls > 0 {
+			first := 1 + g.rng.IntN(g.calls)
+			g.line("again c%d-1 via=%s timeout=%s", first, g.instance(), timeout)
 		}
 	case 2:
-		if d.calls > 0 {
-			d.line("%s c%d-1 via=%s", d.of("cancel", "status"), 1+d.rng.IntN(d.calls), d.instance())
+		if g.calls > 0 {
+			g.line("%s c%d-1 via=%s", g.choose("cancel", "status"), 1+g.rng.IntN(g.calls), g.instance())
 		}
 	default:
-		d.calls++
-		d.line("calls %d c%d- %s", 1+d.rng.IntN(8), d.calls, options)
+		g.calls++
+		g.line("calls %d c%d- %s", 1+g.rng.IntN(8), g.calls, options)
 	}
 }
 
-// fault draws one failure, or the end of some.
-func (d *drawer) fault() {
-	switch d.rng.IntN(16) {
+// fault adds one failure, a line that ends failures, or a change of configuration.
+func (g *generator) fault() {
+	switch g.rng.IntN(16) {
 	case 0:
-		d.line("pause %s", d.instance())
+		g.line("pause %s", g.instance())
 	case 1:
-		d.line("wake %s", d.instance())
+		g.line("wake %s", g.instance())
 	case 2:
-		d.line("crash %s", d.instance())
+		g.line("crash %s", g.instance())
 	case 3:
-		d.line("restart %s", d.instance())
+		g.line("restart %s", g.instance())
 	case 4:
-		d.pairFault()
+		g.pairFault()
 	case 5:
-		d.line("heal")
+		g.line("heal")
 	case 6:
-		d.line("log %s", d.of("down", "slow by=1s", "slow by=3s", "lose-answers"))
+		g.line("log %s", g.choose("down", "slow by=1s", "slow by=3s", "lose-answers"))
 	case 7:
-		d.line("log up")
+		g.line("log up")
 	case 8:
-		d.line("worker %s", d.workerFault())
+		g.line("worker %s", g.workerFault())
 	case 9:
-		d.line("worker ok all")
+		g.line("worker ok all")
 	case 10:
-		d.line("worker restart %s", d.worker())
+		g.line("worker restart %s", g.worker())
 	case 11:
-		d.line("cut-worker %s %s", d.instance(), d.worker())
+		g.line("cut-worker %s %s", g.instance(), g.worker())
 	case 12:
-		d.line("list-lag %v", d.pick(1000, 30000))
+		g.line("list-lag %v", g.duration(1000, 30000))
 	case 13, 14:
-		d.changes++
-		d.line("apply change=l%d team=%s limit=%d via=%s", d.changes, d.of("a", "b"), d.rng.IntN(7), d.instance())
+		g.changes++
+		g.line("apply change=l%d team=%s limit=%d via=%s", g.changes, g.choose("a", "b"), g.rng.IntN(7), g.instance())
 	case 15:
-		d.changes++
-		d.line("apply change=k%d team=b %s=b via=%s", d.changes, d.of("give", "withdraw"), d.instance())
+		g.changes++
+		g.line("apply change=k%d team=b %s=b via=%s", g.changes, g.choose("give", "withdraw"), g.instance())
 	}
 }
 
-func (d *drawer) pairFault() {
-	a, b := d.instance(), d.instance()
+func (g *generator) pairFault() {
+	a, b := g.instance(), g.instance()
 	switch {
-	case d.rng.IntN(4) == 0:
-		d.line("isolate %s", a)
-	case d.rng.IntN(4) == 0:
-		d.line("cut-log %s", a)
+	case g.rng.IntN(4) == 0:
+		g.line("isolate %s", a)
+	case g.rng.IntN(4) == 0:
+		g.line("cut-log %s", a)
 	case a != b:
-		d.line("%s %s %s", d.of("cut", "silence"), a, b)
+		g.line("%s %s %s", g.choose("cut", "silence"), a, b)
 	}
 }
 
-func (d *drawer) workerFault() string {
-	fault := d.of("pause", "unreachable", "silent", "fail-everything", "cut-answers",
+func (g *generator) workerFault() string {
+	fault := g.choose("pause", "unreachable", "silent", "fail-everything", "cut-answers",
 		"lose-start-answers", "lose-renewals", "late", "late-reports", "leave")
 	if strings.HasPrefix(fault, "late") {
-		return fmt.Sprintf("%s %s by=%v", fault, d.worker(), d.pick(500, 4000))
+		return fmt.Sprintf("%s %s by=%v", fault, g.worker(), g.duration(500, 4000))
 	}
-	worker := d.worker()
+	worker := g.worker()
 	if fault == "leave" && worker == keptWorker {
 		fault = "pause"
 	}
 	return fault + " " + worker
 }
 
-// keptWorker never leaves: after the recovery someone has to run the calls.
+// keptWorker never leaves, so that a worker can run the calls after the recovery.
 const keptWorker = "w1"
 
 // recoveryLines is the number of lines that recover adds.
 const recoveryLines = 13
 
-// recover ends every failure. Then calls must be done again.
-func (d *drawer) recover() {
-	d.line("heal")
-	d.line("log up")
-	d.line("worker ok all")
-	d.line("list-lag 0s")
-	d.line("revive")
-	d.line("advance 70s")
-	d.line("calls 4 probe team=a timeout=15s mint=true")
-	d.line("advance 20s")
+// recover ends all failures, then expects that calls are done again.
+func (g *generator) recover() {
+	g.line("heal")
+	g.line("log up")
+	g.line("worker ok all")
+	g.line("list-lag 0s")
+	g.line("revive")
+	g.line("advance 70s")
+	g.line("calls 4 probe team=a timeout=15s mint=true")
+	g.line("advance 20s")
 	for i := range 4 {
-		d.line("expect probe%d done", i+1)
+		g.line("expect probe%d done", i+1)
 	}
-	d.line("check")
+	g.line("check")
 }
