--- a/internal/cell/admission/admission.go
+++ b/internal/cell/admission/admission.go
@@ -8,26 +8,26 @@
 
 // Load describes the fleet and its queue when a new job arrives.
 type Load struct {
-	Capacity float64 // cores of the usable workers
-	Free     float64 // cores that no task occupies
-	Waiting  float64 // cores of the waiting tasks that are ahead of the job
-	Ahead    float64 // core-seconds of work of these tasks
-	Higher   float64 // cores that newly arriving work of higher priority occupies
-	Open     float64 // free cores that tasks like the job's can use and no waiting task can
+	Capacity            float64 // cores of the usable workers
+	Free                float64 // cores that no task occupies
+	WaitingCores        float64 // cores of the waiting tasks that are ahead of the job
+	WaitingCoreSeconds  float64 // core-seconds of work of these tasks
+	HigherPriorityCores float64 // cores that newly arriving work of higher priority occupies
+	BackfillCores       float64 // free cores that tasks like the job's can use and no waiting task can
 }
 
 // Job describes the job to decide on.
 type Job struct {
-	Cores     float64       // cores of its first tasks
-	Chain     time.Duration // its critical path on an idle fleet
-	Objective time.Duration // target time from its arrival to its end
-	Overdue   bool          // exceeds the entitlement of its team
+	Cores           float64       // cores of its first tasks
+	CriticalPath    time.Duration // its critical path on an idle fleet
+	Objective       time.Duration // target time from its arrival to its end
+	OverEntitlement bool          // exceeds the entitlement of its team
 }
 
 // Decision is the result of Decide.
 type Decision struct {
 	Accept     bool
-	Why        string        // reason for a refusal; empty if the job is accepted
+	Reason     string        // reason for a refusal; empty if the job is accepted
 	Wait       time.Duration // expected time in the queue
 	RetryAfter time.Duration // delay after which the caller may retry a refused job
 }
@@ -50,21 +50,21 @@
 // Decide decides whether job j is accepted under load l.
 func Decide(j Job, l Load) Decision {
 	if l.Capacity <= 0 {
-		return Decision{Why: "no worker is usable", RetryAfter: minRetryDelay}
+		return Decision{Reason: "no worker is usable", RetryAfter: minRetryDelay}
 	}
-	rate := max(l.Capacity*packingRatio-l.Higher, l.Capacity*minCapacityRatio)
+	rate := max(l.Capacity*packingRatio-l.HigherPriorityCores, l.Capacity*minCapacityRatio)
 	wait := time.Duration(0)
-	if l.Waiting > l.Free && j.Cores >= l.Open {
-		wait = time.Duration(l.Ahead / rate * float64(time.Second))
+	if l.WaitingCores > l.Free && j.Cores >= l.BackfillCores {
+		wait = time.Duration(l.WaitingCoreSeconds / rate * float64(time.Second))
 	}
-	slack := j.Objective - j.Chain
+	slack := j.Objective - j.CriticalPath
 	d := Decision{Wait: wait}
 	switch {
-	case j.Overdue && wait > overEntitlementMaxWait:
-		d.Why = "the team is beyond its allowance and the fleet is full"
+	case j.OverEntitlement && wait > overEntitlementMaxWait:
+		d.Reason = "the team is beyond its allowance and the fleet is full"
 		d.RetryAfter = clampRetryDelay(wait)
 	case wait > slack:
-		d.Why = "it would end too late"
+		d.Reason = "it would end too late"
 		d.RetryAfter = clampRetryDelay(wait - slack)
 	default:
 		d.Accept = true
--- a/internal/cell/engine/admit.go
+++ b/internal/cell/engine/admit.go
@@ -26,10 +26,10 @@
 	first := widest(spec)
 	load := e.loadFor(q, first)
 	decision := admission.Decide(admission.Job{
-		Cores: float64(first.Charge().CPU) / 1000 * float64(first.Count), Chain: criticalPath,
-		Objective: objective(q, criticalPath), Overdue: !e.hasToken(spec.Team),
+		Cores: float64(first.Charge().CPU) / 1000 * float64(first.Count), CriticalPath: criticalPath,
+		Objective: objective(q, criticalPath), OverEntitlement: !e.hasToken(spec.Team),
 	}, load)
-	return decision.Why, decision.RetryAfter
+	return decision.Reason, decision.RetryAfter
 }
 
 // neverFits returns the reason why the job could never run, or "": one of its steps is
--- a/internal/cell/engine/backlog.go
+++ b/internal/cell/engine/backlog.go
@@ -125,18 +125,18 @@
 			fits += charge.CountIn(w.free(), first.Count)
 		}
 	}
-	load.Open = float64(fits) * float64(charge.CPU) / 1000
+	load.BackfillCores = float64(fits) * float64(charge.CPU) / 1000
 	if q.Advice != nil {
-		load.Open *= e.goodShare(q.Name)
+		load.BackfillCores *= e.goodShare(q.Name)
 	}
 	for priority, d := range e.demands {
 		if priority <= q.Priority {
-			load.Waiting += float64(d.waitingCPU) / 1000
-			load.Ahead += d.waitingWork
-			load.Open -= float64(d.untriedCPU) / 1000
+			load.WaitingCores += float64(d.waitingCPU) / 1000
+			load.WaitingCoreSeconds += d.waitingWork
+			load.BackfillCores -= float64(d.untriedCPU) / 1000
 		}
 		if priority < q.Priority {
-			load.Higher += d.rate(e.now)
+			load.HigherPriorityCores += d.rate(e.now)
 		}
 	}
 	return load
