--- a/internal/cell/advice/advice.go
+++ b/internal/cell/advice/advice.go
@@ -6,8 +6,8 @@
 
 import "time"
 
-// LongCall is the minimum duration of a long call.
-const LongCall = 250 * time.Millisecond
+// LongCallThreshold is the minimum duration of a long call.
+const LongCallThreshold = 250 * time.Millisecond
 
 // ShortOnlyRatio is the part of the delegates that is reserved for short calls.
 const ShortOnlyRatio = 1.0 / 3
@@ -19,9 +19,9 @@
 	maxLongBacklog  = 300 * time.Millisecond
 )
 
-// Arm is a delegate: an instance that calls the adviser for the leader. The zero
+// Delegate is a delegate: an instance that calls the adviser for the leader. The zero
 // value is idle.
-type Arm struct {
+type Delegate struct {
 	busyUntil    time.Time // expected end of the calls sent
 	calls        int       // calls that have not ended
 	backoffUntil time.Time
@@ -30,8 +30,8 @@
 // failureBackoff is how long a delegate gets no calls after one of its calls failed.
 const failureBackoff = 400 * time.Millisecond
 
-// Take records that a call of the expected duration cost is sent at now.
-func (a *Arm) Take(now time.Time, cost time.Duration) {
+// CallSent records that a call of the expected duration cost is sent at now.
+func (a *Delegate) CallSent(now time.Time, cost time.Duration) {
 	if a.calls == 0 || a.busyUntil.Before(now) {
 		a.busyUntil = now
 	}
@@ -39,8 +39,8 @@
 	a.calls++
 }
 
-// Done records that a call ended at now, and whether it succeeded.
-func (a *Arm) Done(now time.Time, cost time.Duration, ok bool) {
+// CallEnded records that a call ended at now, and whether it succeeded.
+func (a *Delegate) CallEnded(now time.Time, cost time.Duration, ok bool) {
 	a.calls = max(0, a.calls-1)
 	if a.calls == 0 {
 		a.busyUntil = now
@@ -53,8 +53,8 @@
 // Choose returns the index of the delegate for a call of the expected duration cost:
 // the one with the shortest wait. It returns -1 if every delegate has too much work
 // queued or is in backoff.
-func Choose(delegates []*Arm, now time.Time, cost time.Duration) int {
-	long := cost >= LongCall
+func Choose(delegates []*Delegate, now time.Time, cost time.Duration) int {
+	long := cost >= LongCallThreshold
 	firstAllowed := 0
 	maxBacklog := maxShortBacklog
 	if long {
--- a/internal/cell/advice/advice_test.go
+++ b/internal/cell/advice/advice_test.go
@@ -11,15 +11,15 @@
 // delegates can serve.
 func TestShortCallsDoNotWaitBehindLongOnes(t *testing.T) {
 	now := time.Unix(1000, 0)
-	delegates := make([]*Arm, 9)
+	delegates := make([]*Delegate, 9)
 	for i := range delegates {
-		delegates[i] = &Arm{}
+		delegates[i] = &Delegate{}
 	}
 	long, short := 900*time.Millisecond, 15*time.Millisecond
 	sent := 0
 	for range 20 {
 		if i := Choose(delegates, now, long); i >= 0 {
-			delegates[i].Take(now, long)
+			delegates[i].CallSent(now, long)
 			sent++
 		}
 	}
@@ -28,22 +28,22 @@
 		i := Choose(delegates, now, short)
 		assert.GreaterOrEqual(t, i, 0)
 		assert.Less(t, i, 3, "on a delegate without long calls")
-		delegates[i].Take(now, short)
+		delegates[i].CallSent(now, short)
 	}
 }
 
 func TestFailedDelegateIsInBackoff(t *testing.T) {
 	now := time.Unix(1000, 0)
-	delegates := []*Arm{{}, {}}
-	delegates[0].Take(now, time.Millisecond)
-	delegates[0].Done(now, time.Millisecond, false)
+	delegates := []*Delegate{{}, {}}
+	delegates[0].CallSent(now, time.Millisecond)
+	delegates[0].CallEnded(now, time.Millisecond, false)
 	assert.Equal(t, 1, Choose(delegates, now, time.Millisecond))
-	delegates[1].Take(now, time.Millisecond)
-	delegates[1].Done(now, time.Millisecond, false)
+	delegates[1].CallSent(now, time.Millisecond)
+	delegates[1].CallEnded(now, time.Millisecond, false)
 	assert.Equal(t, -1, Choose(delegates, now, time.Millisecond))
 	assert.GreaterOrEqual(t, Choose(delegates, now.Add(time.Second), time.Millisecond), 0)
 }
 
 func TestSingleDelegateTakesAllCalls(t *testing.T) {
-	assert.Equal(t, 0, Choose([]*Arm{{}}, time.Unix(1000, 0), time.Second))
+	assert.Equal(t, 0, Choose([]*Delegate{{}}, time.Unix(1000, 0), time.Second))
 }
--- a/internal/cell/engine/advising.go
+++ b/internal/cell/engine/advising.go
@@ -50,7 +50,7 @@
 // delegate is an instance that can call the adviser.
 type delegate struct {
 	name string
-	advice.Arm
+	advice.Delegate
 }
 
 // ticket returns the ticket of s for a worker, or the zero ticket if none is needed.
@@ -164,7 +164,7 @@
 	if chosen == nil {
 		return false
 	}
-	chosen.Take(e.now, cost)
+	chosen.CallSent(e.now, cost)
 	s.advice.callsInFlight++
 	names := make([]string, len(ask))
 	for i, w := range ask {
@@ -266,7 +266,7 @@
 // expected to include enough good ones. Steps that cannot wait for an answer later also
 // ask about workers whose capacity is in use.
 func (e *Engine) rankForAdvice(s *stepRun, q *policy.Queue, unasked []*worker) []*worker {
-	ahead := s.spec.Gang || q.Priority == 0 || q.Advice.Base >= advice.LongCall
+	ahead := s.spec.Gang || q.Priority == 0 || q.Advice.Base >= advice.LongCallThreshold
 	score := make(map[*worker]float64, len(unasked))
 	ranked := unasked[:0]
 	for _, w := range unasked {
@@ -313,9 +313,9 @@
 // chooseDelegate returns the delegate for a call of the given cost, or nil if none can
 // take it.
 func (e *Engine) chooseDelegate(cost time.Duration) *delegate {
-	loads := make([]*advice.Arm, len(e.delegates))
+	loads := make([]*advice.Delegate, len(e.delegates))
 	for i, d := range e.delegates {
-		loads[i] = &d.Arm
+		loads[i] = &d.Delegate
 	}
 	i := advice.Choose(loads, e.now, cost)
 	if i < 0 {
@@ -334,7 +334,7 @@
 	e.needsPlacement = true
 	for _, d := range e.delegates {
 		if d.name == ev.Ask.Arm {
-			d.Done(e.now, ev.Ask.Cost, ev.OK)
+			d.CallEnded(e.now, ev.Ask.Cost, ev.OK)
 		}
 	}
 	if !ev.OK {
@@ -356,7 +356,7 @@
 			s.markGood(id, ticket{value: t, incarnation: w.incarnation, validUntil: e.now.Add(ev.TTL)})
 		}
 	}
-	if unasked > 0 && s.waiting > 0 && ev.Ask.Cost >= advice.LongCall {
+	if unasked > 0 && s.waiting > 0 && ev.Ask.Cost >= advice.LongCallThreshold {
 		e.markDirty(s) // spares the next leader a repeat of this call
 	}
 	if unasked == len(ev.Ask.Workers) && unasked > 0 {
