--- a/internal/cell/engine/schedule.go
+++ b/internal/cell/engine/schedule.go
@@ -68,7 +68,7 @@
 // orderingStep returns the properties of s that determine its urgency.
 func (e *Engine) orderingStep(s *stepRun) ordering.Step {
 	j := s.job()
-	o := ordering.Step{Overdue: j.overEntitlement, Priority: lowestPriority, Arrived: e.arrivalOf(s), Left: e.criticalPathFrom(s)}
+	o := ordering.Step{OverEntitlement: j.overEntitlement, Priority: lowestPriority, Arrived: e.arrivalOf(s), Remaining: e.criticalPathFrom(s)}
 	if q := e.queueOf(j); q != nil {
 		o.Priority = q.Priority
 		o.Objective = objective(q, e.criticalPath(j))
--- a/internal/cell/ordering/ordering.go
+++ b/internal/cell/ordering/ordering.go
@@ -7,30 +7,30 @@
 
 // Step holds the attributes of a waiting step that determine its order.
 type Step struct {
-	Overdue   bool          // exceeds the entitlement of its team
-	Priority  int           // zero comes first
-	Arrived   time.Time     // arrival of the job
-	Objective time.Duration // target time from the arrival to the end of the job
-	Left      time.Duration // remaining critical path of the job
+	OverEntitlement bool          // exceeds the entitlement of its team
+	Priority        int           // zero comes first
+	Arrived         time.Time     // arrival of the job
+	Objective       time.Duration // target time from the arrival to the end of the job
+	Remaining       time.Duration // remaining critical path of the job
 }
 
 // lateMultiplier is how many times its objective a job may take while its result is
 // still of some use to the caller.
 const lateMultiplier = 3
 
-// Band classifies a step by the expected end of its job relative to its objective.
-type Band int
+// Timeliness classifies a step by the expected end of its job relative to its objective.
+type Timeliness int
 
 // Bands, in the order in which their steps are placed.
 const (
-	InTime  Band = iota // within the objective
-	Late                // after the objective, but still useful
-	TooLate             // of no more use to the caller
+	InTime  Timeliness = iota // within the objective
+	Late                      // after the objective, but still useful
+	TooLate                   // of no more use to the caller
 )
 
-// BandOf returns the band of s at now.
-func BandOf(s Step, now time.Time) Band {
-	duration := now.Add(s.Left).Sub(s.Arrived)
+// TimelinessOf returns the band of s at now.
+func TimelinessOf(s Step, now time.Time) Timeliness {
+	duration := now.Add(s.Remaining).Sub(s.Arrived)
 	switch {
 	case duration <= s.Objective:
 		return InTime
@@ -43,14 +43,14 @@
 // Key is the sort key of a step, computed once for each round of placement.
 type Key struct {
 	overEntitlement bool
-	band            Band
+	band            Timeliness
 	priority        int
 	latestStart     time.Time // latest time to place the step for the job to finish in time
 }
 
 // KeyOf returns the key of s at now.
 func KeyOf(s Step, now time.Time) Key {
-	return Key{s.Overdue, BandOf(s, now), s.Priority, s.Arrived.Add(s.Objective - s.Left)}
+	return Key{s.OverEntitlement, TimelinessOf(s, now), s.Priority, s.Arrived.Add(s.Objective - s.Remaining)}
 }
 
 // Before reports whether the step with key a is placed before the one with key b.
--- a/internal/cell/ordering/ordering_test.go
+++ b/internal/cell/ordering/ordering_test.go
@@ -9,15 +9,15 @@
 
 func TestBefore(t *testing.T) {
 	now := time.Unix(1000, 0)
-	fresh := Step{Priority: 1, Arrived: now, Objective: 10 * time.Second, Left: 2 * time.Second}
-	late := Step{Priority: 0, Arrived: now.Add(-9 * time.Second), Objective: 10 * time.Second, Left: 2 * time.Second}
-	tooLate := Step{Priority: 0, Arrived: now.Add(-time.Minute), Objective: 10 * time.Second, Left: 2 * time.Second}
+	fresh := Step{Priority: 1, Arrived: now, Objective: 10 * time.Second, Remaining: 2 * time.Second}
+	late := Step{Priority: 0, Arrived: now.Add(-9 * time.Second), Objective: 10 * time.Second, Remaining: 2 * time.Second}
+	tooLate := Step{Priority: 0, Arrived: now.Add(-time.Minute), Objective: 10 * time.Second, Remaining: 2 * time.Second}
 	tight := fresh
 	tight.Arrived = now.Add(-6 * time.Second)
 	urgent := fresh
 	urgent.Priority = 0
 	overEntitlement := urgent
-	overEntitlement.Overdue = true
+	overEntitlement.OverEntitlement = true
 	for _, c := range []struct {
 		name        string
 		first, next Step
