--- a/internal/cell/engine/schedule.go
+++ b/internal/cell/engine/schedule.go
@@ -120,8 +120,8 @@
 // request returns the placement request for count tasks of s.
 func (e *Engine) request(s *stepRun, count int) placement.Request {
 	return placement.Request{
-		Need: s.charge, Count: count, All: s.spec.Gang, SameRack: s.spec.SameRack,
-		PreferredRack: s.spec.PreferredRack, FarPenalty: e.cfg.FarPenalty, MaxPerWorker: s.spec.MaxPerWorker,
+		Need: s.charge, Count: count, AllOrNothing: s.spec.Gang, SameRack: s.spec.SameRack,
+		PreferredRack: s.spec.PreferredRack, OffRackMultiplier: e.cfg.FarPenalty, MaxPerWorker: s.spec.MaxPerWorker,
 	}
 }
 
@@ -131,7 +131,7 @@
 	for i, w := range workers {
 		out[i] = placement.Candidate{Free: w.free(), Rack: w.rack, Slowness: w.health.slowness()}
 		if s.spec.MaxPerWorker > 0 {
-			out[i].Present = s.tasksOn(w)
+			out[i].Running = s.tasksOn(w)
 		}
 	}
 	return out
--- a/internal/cell/placement/placement.go
+++ b/internal/cell/placement/placement.go
@@ -15,18 +15,18 @@
 	Free     job.Resources
 	Rack     string
 	Slowness float64 // expected run time relative to a healthy worker's, at least 1
-	Present  int     // number of tasks of the step that already run on the worker
+	Running  int     // number of tasks of the step that already run on the worker
 }
 
 // Request describes the tasks to place.
 type Request struct {
-	Need          job.Resources // of one task
-	Count         int           // number of tasks
-	All           bool          // place all tasks or none
-	SameRack      bool          // place all tasks on one rack if possible
-	PreferredRack string        // empty for no preference
-	FarPenalty    float64       // run time outside the preferred rack relative to that inside
-	MaxPerWorker  int           // zero for no limit
+	Need              job.Resources // of one task
+	Count             int           // number of tasks
+	AllOrNothing      bool          // place all tasks or none
+	SameRack          bool          // place all tasks on one rack if possible
+	PreferredRack     string        // empty for no preference
+	OffRackMultiplier float64       // run time outside the preferred rack relative to that inside
+	MaxPerWorker      int           // zero for no limit
 }
 
 // slownessBucket is the width of the ranges of slowness within which workers count
@@ -64,7 +64,7 @@
 		racks[c.Rack] = append(racks[c.Rack], i)
 	}
 	sort.Strings(names)
-	req.All = true
+	req.AllOrNothing = true
 	for _, name := range names {
 		if chosen := place(req, candidates, racks[name]); chosen != nil {
 			return chosen
@@ -95,7 +95,7 @@
 		total += fit
 		score := c.Slowness
 		if req.PreferredRack != "" && c.Rack != req.PreferredRack {
-			score *= max(1, req.FarPenalty)
+			score *= max(1, req.OffRackMultiplier)
 		}
 		unusedCPU := c.Free.CPU
 		if req.Need.CPU > 0 {
@@ -103,7 +103,7 @@
 		}
 		options = append(options, option{i, fit, score, unusedCPU})
 	}
-	if total == 0 || req.All && total < req.Count {
+	if total == 0 || req.AllOrNothing && total < req.Count {
 		return nil
 	}
 	sort.Slice(options, func(a, b int) bool {
@@ -133,7 +133,7 @@
 func tasksThatFit(req Request, c *Candidate) int {
 	n := req.Need.CountIn(c.Free, req.Count)
 	if req.MaxPerWorker > 0 {
-		n = min(n, req.MaxPerWorker-c.Present)
+		n = min(n, req.MaxPerWorker-c.Running)
 	}
 	return max(0, n)
 }
--- a/internal/cell/placement/placement_test.go
+++ b/internal/cell/placement/placement_test.go
@@ -25,7 +25,7 @@
 	slow := free(4000, 4000)
 	slow[0].Slowness = 2
 	present := free(9000, 9000)
-	present[0].Present = 2
+	present[0].Running = 2
 	for _, c := range []struct {
 		name string
 		req  Request
@@ -34,9 +34,9 @@
 	}{
 		{"on the worker with the least CPU left unused", Request{Need: cpu(2000), Count: 1}, free(9000, 2500, 4000), []int{1}},
 		{"as many as fit", Request{Need: cpu(2000), Count: 3}, free(2000, 2100), []int{0, 1}},
-		{"a gang entirely or not at all", Request{Need: cpu(2000), Count: 3, All: true}, free(2000, 2100), nil},
-		{"on one rack", Request{Need: cpu(4000), Count: 2, All: true, SameRack: true}, racks, []int{0, 3}},
-		{"near the data", Request{Need: cpu(4000), Count: 1, PreferredRack: "r2", FarPenalty: 2}, racks, []int{1}},
+		{"a gang entirely or not at all", Request{Need: cpu(2000), Count: 3, AllOrNothing: true}, free(2000, 2100), nil},
+		{"on one rack", Request{Need: cpu(4000), Count: 2, AllOrNothing: true, SameRack: true}, racks, []int{0, 3}},
+		{"near the data", Request{Need: cpu(4000), Count: 1, PreferredRack: "r2", OffRackMultiplier: 2}, racks, []int{1}},
 		{"away from slow workers", Request{Need: cpu(4000), Count: 1}, slow, []int{1}},
 		{"at most the maximum on one worker", Request{Need: cpu(1000), Count: 3, MaxPerWorker: 2}, present, []int{1, 1}},
 		{"nothing without free capacity", Request{Need: cpu(5000), Count: 1}, free(4000), nil},
@@ -56,6 +56,6 @@
 			fleet[i].Free = fleet[i].Free.Sub(cpu(2000))
 		}
 	}
-	large := Place(Request{Need: cpu(16000), Count: 10, All: true}, fleet)
+	large := Place(Request{Need: cpu(16000), Count: 10, AllOrNothing: true}, fleet)
 	assert.Len(t, large, 10, "80 of 256 cores are taken, on as few workers as possible")
 }
