--- a/internal/cell/engine/advising.go
+++ b/internal/cell/engine/advising.go
@@ -159,7 +159,7 @@
 // callAdviser has a delegate call the adviser about workers for s. It reports whether a
 // delegate could take the call.
 func (e *Engine) callAdviser(s *stepRun, q *policy.Queue, ask []*worker) bool {
-	cost := q.Advice.Of(len(ask))
+	cost := q.Advice.CallDuration(len(ask))
 	chosen := e.chooseDelegate(cost)
 	if chosen == nil {
 		return false
@@ -185,7 +185,7 @@
 	// valid when the call for the missing ones returns.
 	validUntil := e.now
 	if s.spec.Gang {
-		validUntil = validUntil.Add(q.Advice.Of(min(need, maxWorkersPerCall)))
+		validUntil = validUntil.Add(q.Advice.CallDuration(min(need, maxWorkersPerCall)))
 	}
 	validTasks, expiredTasks, expiredWorkers := e.ticketCapacity(s, validUntil)
 	if validTasks+expiredTasks >= need || !s.spec.Gang && expiredTasks > 0 {
--- a/internal/cell/policy/policy.go
+++ b/internal/cell/policy/policy.go
@@ -17,8 +17,8 @@
 	TicketTTL time.Duration
 }
 
-// Of returns the expected duration of a call for n workers.
-func (c AdviceCost) Of(n int) time.Duration { return c.Base + time.Duration(n)*c.PerWorker }
+// CallDuration returns the expected duration of a call for n workers.
+func (c AdviceCost) CallDuration(n int) time.Duration { return c.Base + time.Duration(n)*c.PerWorker }
 
 // Queue is an endpoint to which callers submit jobs.
 type Queue struct {
