--- a/internal/cell/engine/restore.go
+++ b/internal/cell/engine/restore.go
@@ -107,7 +107,7 @@
 		if stored.Worker != "" {
 			e.restoreRun(t, stored)
 		}
-		if speculative, ok := rec.Copies[i]; ok && speculative.Worker != "" {
+		if speculative, ok := rec.SpeculativeRuns[i]; ok && speculative.Worker != "" {
 			e.restoreRun(t, &speculative)
 			t.lastRun = max(t.lastRun, speculative.Run)
 		}
@@ -124,14 +124,14 @@
 	if len(rec.Asked) == 0 {
 		return
 	}
-	asked := rec.Asked.Set()
+	asked := rec.Asked.Matcher()
 	for _, w := range e.workerList {
 		if asked(w.id) {
 			s.ensureAdvice().asked[w.id] = w.incarnation
 		}
 	}
-	for _, g := range rec.Good {
-		s.markGood(g.Worker, ticket{incarnation: g.Life})
+	for _, g := range rec.GoodWorkers {
+		s.markGood(g.Worker, ticket{incarnation: g.Incarnation})
 	}
 }
 
@@ -140,7 +140,7 @@
 	w := e.workers[stored.Worker]
 	if w == nil {
 		w = newWorker(stored.Worker)
-		w.incarnation = stored.Life
+		w.incarnation = stored.Incarnation
 		w.unlistedSince = e.now
 		e.workers[w.id] = w
 		e.workerList = append(e.workerList, w)
@@ -148,7 +148,7 @@
 	if !t.hasRuns() && !t.done {
 		t.step.waiting--
 	}
-	r := &run{task: t, worker: w, incarnation: stored.Life, number: stored.Run, charge: t.step.charge, phase: planned, restored: true, startSent: true}
+	r := &run{task: t, worker: w, incarnation: stored.Incarnation, number: stored.Run, charge: t.step.charge, phase: planned, restored: true, startSent: true}
 	t.runs = append(t.runs, r)
 	e.reserve(r)
 }
--- a/internal/cell/engine/state.go
+++ b/internal/cell/engine/state.go
@@ -160,19 +160,19 @@
 		out := record.Task{Done: t.done, Run: t.lastRun, Failures: t.failures, Checkpoint: t.checkpoint}
 		for n, u := range t.runs {
 			if n == 0 {
-				out.Worker, out.Life, out.Run = u.worker.id, u.incarnation, u.number
+				out.Worker, out.Incarnation, out.Run = u.worker.id, u.incarnation, u.number
 				continue
 			}
-			if r.Copies == nil {
-				r.Copies = make(map[int]record.Task)
+			if r.SpeculativeRuns == nil {
+				r.SpeculativeRuns = make(map[int]record.Task)
 			}
-			r.Copies[i] = record.Task{Run: u.number, Worker: u.worker.id, Life: u.incarnation}
+			r.SpeculativeRuns[i] = record.Task{Run: u.number, Worker: u.worker.id, Incarnation: u.incarnation}
 		}
 		r.Tasks[i] = out
 	}
 	if s.advice != nil && s.waiting > 0 {
 		for _, id := range s.advice.goodOrder {
-			r.Good = append(r.Good, record.Good{Worker: id, Life: s.advice.good[id].incarnation})
+			r.GoodWorkers = append(r.GoodWorkers, record.GoodWorker{Worker: id, Incarnation: s.advice.good[id].incarnation})
 		}
 		for _, id := range slices.Sorted(maps.Keys(s.advice.asked)) {
 			r.Asked.Add(id)
--- a/internal/cell/record/record.go
+++ b/internal/cell/record/record.go
@@ -48,13 +48,13 @@
 
 // Task is the progress of one task.
 type Task struct {
-	_          struct{} `cbor:",toarray"`
-	Done       bool
-	Run        int    // number of the latest run
-	Failures   int    // number of runs that failed
-	Worker     string // worker that got the latest run; empty once the end of the run is known
-	Life       int64  // incarnation of Worker
-	Checkpoint string
+	_           struct{} `cbor:",toarray"`
+	Done        bool
+	Run         int    // number of the latest run
+	Failures    int    // number of runs that failed
+	Worker      string // worker that got the latest run; empty once the end of the run is known
+	Incarnation int64  // incarnation of Worker
+	Checkpoint  string
 }
 
 // Step is the progress of the tasks of a step. Copies holds the speculative runs by
@@ -62,18 +62,18 @@
 // Asked those that it was asked about. Both are kept while tasks wait, as advice is
 // slow to get.
 type Step struct {
-	Tasks  []Task       `cbor:"1,keyasint"`
-	Copies map[int]Task `cbor:"2,keyasint,omitempty"`
-	Good   []Good       `cbor:"3,keyasint,omitempty"`
-	Asked  NameSet      `cbor:"4,keyasint,omitempty"`
+	Tasks           []Task       `cbor:"1,keyasint"`
+	SpeculativeRuns map[int]Task `cbor:"2,keyasint,omitempty"`
+	GoodWorkers     []GoodWorker `cbor:"3,keyasint,omitempty"`
+	Asked           NameSet      `cbor:"4,keyasint,omitempty"`
 }
 
-// Good is a worker that the adviser recommended for a step, in the incarnation Life.
+// GoodWorker is a worker that the adviser recommended for a step, in the incarnation Life.
 // The advice is valid for the whole incarnation; its ticket expires earlier.
-type Good struct {
-	_      struct{} `cbor:",toarray"`
-	Worker string
-	Life   int64
+type GoodWorker struct {
+	_           struct{} `cbor:",toarray"`
+	Worker      string
+	Incarnation int64
 }
 
 // NameSet is a set of names, stored as a hash of four bytes each. With some hundreds
@@ -84,8 +84,8 @@
 // Add adds name to the set.
 func (n *NameSet) Add(name string) { *n = binary.BigEndian.AppendUint32(*n, nameHash(name)) }
 
-// Set returns a function that reports whether a name is in the set.
-func (n NameSet) Set() func(name string) bool {
+// Matcher returns a function that reports whether a name is in the set.
+func (n NameSet) Matcher() func(name string) bool {
 	hashes := make(map[uint32]bool, len(n)/4)
 	for i := 0; i+3 < len(n); i += 4 {
 		hashes[binary.BigEndian.Uint32(n[i:])] = true
--- a/internal/cell/record/record_test.go
+++ b/internal/cell/record/record_test.go
@@ -16,18 +16,18 @@
 		n.Add(fmt.Sprintf("worker-%d", i))
 	}
 	assert.Len(t, n, 4*350)
-	has := n.Set()
+	has := n.Matcher()
 	for i := range 350 {
 		assert.True(t, has(fmt.Sprintf("worker-%d", i)))
 		assert.False(t, has(fmt.Sprintf("other-%d", i)))
 	}
-	assert.False(t, NameSet("abc").Set()("worker-0"), "a truncated entry is ignored")
+	assert.False(t, NameSet("abc").Matcher()("worker-0"), "a truncated entry is ignored")
 }
 
 func TestStepRoundTrip(t *testing.T) {
 	in := &Step{
-		Tasks: []Task{{Run: 2, Worker: "w1", Life: 7}, {Done: true, Run: 1, Checkpoint: "c"}},
-		Good:  []Good{{Worker: "w1", Life: 7}, {Worker: "w2", Life: 9}},
+		Tasks:       []Task{{Run: 2, Worker: "w1", Incarnation: 7}, {Done: true, Run: 1, Checkpoint: "c"}},
+		GoodWorkers: []GoodWorker{{Worker: "w1", Incarnation: 7}, {Worker: "w2", Incarnation: 9}},
 	}
 	in.Asked.Add("w3")
 	out := new(Step)
@@ -38,7 +38,7 @@
 	out = new(Step)
 	require.NoError(t, Decode(Encode(&Step{Tasks: in.Tasks}), out))
 	assert.Empty(t, out.Asked)
-	assert.Empty(t, out.Good)
+	assert.Empty(t, out.GoodWorkers)
 }
 
 func TestKeys(t *testing.T) {
