--- a/internal/cell/engine/advising.go
+++ b/internal/cell/engine/advising.go
@@ -170,7 +170,7 @@
 	for i, w := range ask {
 		names[i] = w.id
 	}
-	e.emit(&Ask{Arm: chosen.name, Step: s.name, Workers: names, Cost: cost, step: s, sentAt: e.now})
+	e.emit(&AdviceCall{Delegate: chosen.name, Step: s.name, Workers: names, Cost: cost, step: s, sentAt: e.now})
 	return true
 }
 
@@ -328,22 +328,22 @@
 const adviceRetryDelay = 30 * time.Millisecond
 
 // advised applies the outcome of a call to the adviser.
-func (e *Engine) advised(ev *Advised) {
-	s := ev.Ask.step
+func (e *Engine) advised(ev *AdviceAnswered) {
+	s := ev.Call.step
 	s.advice.callsInFlight--
 	e.needsPlacement = true
 	for _, d := range e.delegates {
-		if d.name == ev.Ask.Arm {
-			d.CallEnded(e.now, ev.Ask.Cost, ev.OK)
+		if d.name == ev.Call.Delegate {
+			d.CallEnded(e.now, ev.Call.Cost, ev.OK)
 		}
 	}
 	if !ev.OK {
 		s.advice.retryAt = e.now.Add(adviceRetryDelay)
-		e.log.Warn("adviser call failed", "step", s.name, "job", s.ref.Job, "arm", ev.Ask.Arm, "workers", len(ev.Ask.Workers), "after_ms", e.msSince(ev.Ask.sentAt))
+		e.log.Warn("adviser call failed", "step", s.name, "job", s.ref.Job, "arm", ev.Call.Delegate, "workers", len(ev.Call.Workers), "after_ms", e.msSince(ev.Call.sentAt))
 		return
 	}
 	unasked := 0
-	for _, id := range ev.Ask.Workers {
+	for _, id := range ev.Call.Workers {
 		w := e.workers[id]
 		if w == nil {
 			continue
@@ -356,13 +356,13 @@
 			s.markGood(id, ticket{value: t, incarnation: w.incarnation, validUntil: e.now.Add(ev.TTL)})
 		}
 	}
-	if unasked > 0 && s.waiting > 0 && ev.Ask.Cost >= advice.LongCallThreshold {
+	if unasked > 0 && s.waiting > 0 && ev.Call.Cost >= advice.LongCallThreshold {
 		e.markDirty(s) // spares the next leader a repeat of this call
 	}
-	if unasked == len(ev.Ask.Workers) && unasked > 0 {
+	if unasked == len(ev.Call.Workers) && unasked > 0 {
 		e.updateGoodShare(s.job().queue, float64(len(ev.Good))/float64(unasked))
 	}
-	e.log.Debug("adviser call done", "step", s.name, "arm", ev.Ask.Arm, "asked", len(ev.Ask.Workers), "good", len(ev.Good), "after_ms", e.msSince(ev.Ask.sentAt))
+	e.log.Debug("adviser call done", "step", s.name, "arm", ev.Call.Delegate, "asked", len(ev.Call.Workers), "good", len(ev.Good), "after_ms", e.msSince(ev.Call.sentAt))
 }
 
 // goodShareWeight is the weight of one answer in the smoothed share of good workers.
--- a/internal/cell/engine/commands.go
+++ b/internal/cell/engine/commands.go
@@ -70,7 +70,7 @@
 	w, t := r.worker, r.task
 	r.startAttempts++
 	e.emit(&Start{
-		Worker: w.id, Address: w.address, Life: r.incarnation, Task: t.name, Run: r.number,
+		Worker: w.id, Address: w.address, Incarnation: r.incarnation, Task: t.name, Run: r.number,
 		Payload: t.step.job().spec.Payload, Deadline: w.extendLease(e.cfg.Lease, e.now),
 		Checkpoint: t.checkpoint, Ticket: r.ticket.value, Timeout: timeout, run: r,
 	})
@@ -94,10 +94,10 @@
 func (e *Engine) startAnswered(ev *StartAnswered) {
 	r := ev.Start.run
 	w := r.worker
-	if ev.Life != 0 && w.incarnation != 0 && ev.Life > w.incarnation {
-		e.newIncarnation(w, ev.Life, "answer to a start")
+	if ev.Incarnation != 0 && w.incarnation != 0 && ev.Incarnation > w.incarnation {
+		e.newIncarnation(w, ev.Incarnation, "answer to a start")
 	}
-	if ev.Refusal != Unknown && ev.Clock > 0 {
+	if ev.Refusal != NoAnswer && ev.Clock > 0 {
 		w.noteClock(ev.Clock, e.now)
 	}
 	if r.ended {
@@ -121,7 +121,7 @@
 	switch ev.Refusal {
 	case Fenced:
 		e.stepDown("worker " + w.id + " has seen a newer leader")
-	case Unknown:
+	case NoAnswer:
 		if e.retryStart(r) {
 			return
 		}
@@ -136,11 +136,11 @@
 	case BadTicket:
 		t.step.invalidateTicket(w.id)
 		e.endRun(r, EndedStopped, "", "ticket refused")
-	case OtherLife:
-		e.endRun(r, EndedLapsed, "", "worker restarted")
+	case OtherIncarnation:
+		e.endRun(r, EndedLeaseExpired, "", "worker restarted")
 		w.reported = false
 		w.nextRenewal = e.now
-	case OldRun:
+	case StaleRun:
 		// A run of this number or a higher one has ended on the worker. After two start
 		// commands it may be this run, whose end the worker will report.
 		if r.startAttempts > 1 {
@@ -174,7 +174,7 @@
 	}
 	r.stopInFlight = true
 	r.stopSentAt = e.now
-	e.emit(&Stop{Worker: r.worker.id, Address: r.worker.address, Life: r.incarnation, Task: r.task.name, Run: r.number, Timeout: stopTimeout, run: r})
+	e.emit(&Stop{Worker: r.worker.id, Address: r.worker.address, Incarnation: r.incarnation, Task: r.task.name, Run: r.number, Timeout: stopTimeout, run: r})
 }
 
 // stopAnswered applies the outcome of a stop command.
@@ -189,7 +189,7 @@
 	}
 	w := r.worker
 	switch ev.Refusal {
-	case Accepted, OldRun: // after a newer run, the worker does not have this one either
+	case Accepted, StaleRun: // after a newer run, the worker does not have this one either
 		if r.stopConfirmedAt.IsZero() {
 			r.stopConfirmedAt = e.now
 		}
@@ -197,8 +197,8 @@
 		w.nextRenewal = e.now
 	case Fenced:
 		e.stepDown("worker " + w.id + " has seen a newer leader")
-	case OtherLife:
-		e.endRun(r, EndedLapsed, "", "worker restarted")
+	case OtherIncarnation:
+		e.endRun(r, EndedLeaseExpired, "", "worker restarted")
 		w.reported = false
 		w.nextRenewal = e.now
 	}
@@ -206,7 +206,7 @@
 
 // retryStops repeats the stop commands that got no answer for longer than StopRetry.
 func (e *Engine) retryStops() {
-	if e.now.Sub(e.stopsRetriedAt) < e.cfg.StopRetry/8 {
+	if e.now.Sub(e.stopsRetriedAt) < e.cfg.StopRetryDelay/8 {
 		return
 	}
 	e.stopsRetriedAt = e.now
@@ -215,7 +215,7 @@
 			continue
 		}
 		for r := range w.runs {
-			if r.phase == stopping && !r.stopInFlight && r.startSent && r.stopConfirmedAt.IsZero() && e.now.Sub(r.stopSentAt) > e.cfg.StopRetry {
+			if r.phase == stopping && !r.stopInFlight && r.startSent && r.stopConfirmedAt.IsZero() && e.now.Sub(r.stopSentAt) > e.cfg.StopRetryDelay {
 				e.sendStop(r)
 			}
 		}
--- a/internal/cell/engine/ends.go
+++ b/internal/cell/engine/ends.go
@@ -54,7 +54,7 @@
 
 // endRun removes a run from its worker and decides what follows for its task. source
 // says for the log how the end became known.
-func (e *Engine) endRun(r *run, how How, checkpoint, source string) {
+func (e *Engine) endRun(r *run, how EndReason, checkpoint, source string) {
 	if r.ended {
 		return
 	}
@@ -164,7 +164,7 @@
 }
 
 // updateHealth updates the health of a worker with the outcome of a run.
-func (e *Engine) updateHealth(r *run, how How) {
+func (e *Engine) updateHealth(r *run, how EndReason) {
 	w := r.worker
 	switch how {
 	case EndedDone:
--- a/internal/cell/engine/engine.go
+++ b/internal/cell/engine/engine.go
@@ -16,23 +16,23 @@
 
 // Config holds the limits and intervals that the platform and the settings define.
 type Config struct {
-	Term          int64            // number of this leader's term, higher than all earlier ones
-	Lease         time.Duration    // how long runs continue without contact to the leader
-	MaxLease      time.Duration    // maximum lease that workers grant
-	LapseMargin   time.Duration    // time after the end of a lease until its runs count as ended
-	StopTime      time.Duration    // maximum time that a stop takes
-	GangWait      time.Duration    // maximum time that members of a gang wait for each other
-	FarPenalty    float64          // how many times as long a task takes far from its data
-	LookWait      time.Duration    // maximum time that a worker may delay its answer to a renewal
-	LookRetry     time.Duration    // delay after a renewal without an answer
-	IdleLook      time.Duration    // interval between renewals of an idle worker
-	UnlistedLooks time.Duration    // how long an idle worker is renewed after it left the directory
-	ForgetWorker  time.Duration    // time after which an idle worker that left the directory is dropped
-	StopRetry     time.Duration    // interval between stop commands for the same run
-	SettleStart   time.Duration    // time after its start from which a confirmed run must be in reports
-	Planning      time.Duration    // minimum interval between two placement rounds
-	KeepEnded     time.Duration    // how long the state of an ended job is kept
-	Clock         func() time.Time // measures the duration of a placement round
+	Term                    int64            // number of this leader's term, higher than all earlier ones
+	Lease                   time.Duration    // how long runs continue without contact to the leader
+	MaxLease                time.Duration    // maximum lease that workers grant
+	LeaseExpiryMargin       time.Duration    // time after the end of a lease until its runs count as ended
+	MaxStopDuration         time.Duration    // maximum time that a stop takes
+	GangStartTimeout        time.Duration    // maximum time that members of a gang wait for each other
+	OffRackMultiplier       float64          // how many times as long a task takes far from its data
+	RenewalMaxWait          time.Duration    // maximum time that a worker may delay its answer to a renewal
+	RenewalRetryDelay       time.Duration    // delay after a renewal without an answer
+	IdleRenewalInterval     time.Duration    // interval between renewals of an idle worker
+	UnlistedRenewalWindow   time.Duration    // how long an idle worker is renewed after it left the directory
+	UnlistedWorkerRetention time.Duration    // time after which an idle worker that left the directory is dropped
+	StopRetryDelay          time.Duration    // interval between stop commands for the same run
+	StartReportTimeout      time.Duration    // time after its start from which a confirmed run must be in reports
+	MinPlacementInterval    time.Duration    // minimum interval between two placement rounds
+	EndedJobRetention       time.Duration    // how long the state of an ended job is kept
+	Now                     func() time.Time // measures the duration of a placement round
 }
 
 // maxPlacementInterval is the maximum interval between placement rounds while steps
@@ -123,20 +123,20 @@
 		e.policyChanged(ev.Policy)
 	case *WorkersListed:
 		e.workersListed(ev.Workers)
-	case *Looked:
+	case *RenewalAnswered:
 		e.renewalAnswered(ev)
 	case *StartAnswered:
 		e.startAnswered(ev)
 	case *StopAnswered:
 		e.stopAnswered(ev)
-	case *Advised:
+	case *AdviceAnswered:
 		e.advised(ev)
 	case *Appended:
 		e.appended(ev)
-	case *StoreAnswered:
+	case *StoreRecovered:
 		e.storeRecovered()
-	case *ArmsChanged:
-		e.delegatesChanged(ev.Arms)
+	case *DelegatesChanged:
+		e.delegatesChanged(ev.Delegates)
 	}
 }
 
@@ -153,12 +153,12 @@
 		if len(e.openSteps) > 0 && now.Sub(e.placedAt) >= maxPlacementInterval {
 			e.needsPlacement = true
 		}
-		if e.needsPlacement && now.Sub(e.placedAt) >= max(e.cfg.Planning, placementPauseMultiplier*e.placementTook) {
+		if e.needsPlacement && now.Sub(e.placedAt) >= max(e.cfg.MinPlacementInterval, placementPauseMultiplier*e.placementTook) {
 			e.needsPlacement = false
 			e.placedAt = now
-			begun := e.cfg.Clock()
+			begun := e.cfg.Now()
 			e.place()
-			e.placementTook = e.cfg.Clock().Sub(begun)
+			e.placementTook = e.cfg.Now().Sub(begun)
 		}
 		e.sendRenewals()
 		e.refuseUnstoredJobs()
@@ -186,7 +186,7 @@
 	}
 	e.steppedDown = true
 	e.log.Warn("stepping down", "term", e.cfg.Term, "reason", why)
-	e.emit(&StepDown{Why: why})
+	e.emit(&StepDown{Reason: why})
 }
 
 // refuseRequest refuses a caller's request after another leader has taken over. The
--- a/internal/cell/engine/engine_test.go
+++ b/internal/cell/engine/engine_test.go
@@ -126,7 +126,7 @@
 	assert.Equal(t, Refused, w.answers[second].Outcome, "refused at once while the store refuses appends")
 	w.storeRefuses = false
 	w.run(time.Second)
-	w.engine.Handle(w.now, &StoreAnswered{})
+	w.engine.Handle(w.now, &StoreRecovered{})
 	w.sendSubmit(w.specs[id])
 	w.run(3 * time.Second)
 	assert.Equal(t, StateCompleted, w.state(id))
@@ -296,7 +296,7 @@
 		w.restartWorker(id)
 	case 3:
 		w.storeRefuses = true
-		w.after(time.Duration(w.rand.IntN(3000))*time.Millisecond, func() { w.storeRefuses = false; w.engine.Handle(w.now, &StoreAnswered{}) })
+		w.after(time.Duration(w.rand.IntN(3000))*time.Millisecond, func() { w.storeRefuses = false; w.engine.Handle(w.now, &StoreRecovered{}) })
 	case 4:
 		w.storeHangs = true
 		w.after(time.Duration(w.rand.IntN(3000))*time.Millisecond, func() { w.storeHangs = false })
@@ -319,7 +319,7 @@
 func (w *world) clearFaults() {
 	w.storeRefuses, w.storeHangs, w.adviceFails, w.lateCommandRatio = false, false, false, 0
 	w.storeDelay = 0
-	w.engine.Handle(w.now, &StoreAnswered{})
+	w.engine.Handle(w.now, &StoreRecovered{})
 	for _, s := range w.workers {
 		s.unreachable, s.slowdown = false, 1
 	}
--- a/internal/cell/engine/gangs_test.go
+++ b/internal/cell/engine/gangs_test.go
@@ -112,7 +112,7 @@
 	e.advise(s, w.policy.Queue("batch"), e.newRound("s"))
 	asks := 0
 	for _, action := range e.actions {
-		if a, ok := action.(*Ask); ok {
+		if a, ok := action.(*AdviceCall); ok {
 			asks++
 			assert.LessOrEqual(t, len(a.Workers), maxWorkersPerCall)
 		}
--- a/internal/cell/engine/jobs.go
+++ b/internal/cell/engine/jobs.go
@@ -274,7 +274,7 @@
 	n := 0
 	wall := e.wall()
 	for _, j := range e.endedJobs {
-		if wall-j.endedAt < e.cfg.KeepEnded.Milliseconds() {
+		if wall-j.endedAt < e.cfg.EndedJobRetention.Milliseconds() {
 			break
 		}
 		delete(e.jobs, j.id)
--- a/internal/cell/engine/reports.go
+++ b/internal/cell/engine/reports.go
@@ -48,24 +48,24 @@
 	}
 	for _, r := range t.runs {
 		if r.worker == w && r.number == end.Run {
-			e.endRun(r, end.How, end.Checkpoint, "reported")
+			e.endRun(r, end.Reason, end.Checkpoint, "reported")
 			return
 		}
 	}
 	// The run is unknown: it was abandoned after its lease had expired, or its record
 	// was never stored. A success counts only if the task has no other run.
-	e.log.Info("end of an unknown run", "task", end.Task, "run", end.Run, "worker", w.id, "how", end.How.String())
+	e.log.Info("end of an unknown run", "task", end.Task, "run", end.Run, "worker", w.id, "how", end.Reason.String())
 	if end.Run > t.lastRun {
 		t.lastRun = end.Run
 		t.step.lastGangRun = max(t.step.lastGangRun, end.Run)
 	}
-	if end.How == EndedDone && !t.done && !t.hasRuns() {
+	if end.Reason == EndedDone && !t.done && !t.hasRuns() {
 		e.taskDone(t)
 	}
 }
 
 // applyRunning compares the runs that a worker reports with those it should have.
-func (e *Engine) applyRunning(w *worker, ev *Looked) {
+func (e *Engine) applyRunning(w *worker, ev *RenewalAnswered) {
 	present := make(map[string]*RunStatus, len(ev.Report.Running))
 	w.unknownRuns = 0
 	for i := range ev.Report.Running {
@@ -128,16 +128,16 @@
 	w.unknownRuns++
 	w.renewWithoutWait = true
 	key := s.Task
-	if at, known := e.unknownRunStops[key]; known && e.now.Sub(at) < e.cfg.StopRetry {
+	if at, known := e.unknownRunStops[key]; known && e.now.Sub(at) < e.cfg.StopRetryDelay {
 		return
 	}
 	e.unknownRunStops[key] = e.now
 	e.log.Warn("stopping unknown run", "task", s.Task, "run", s.Run, "worker", w.id, "task_known", t != nil)
-	e.emit(&Stop{Timeout: stopTimeout, Worker: w.id, Address: w.address, Life: w.incarnation, Task: s.Task, Run: s.Run})
+	e.emit(&Stop{Timeout: stopTimeout, Worker: w.id, Address: w.address, Incarnation: w.incarnation, Task: s.Task, Run: s.Run})
 }
 
 // runMissing handles a run that the worker reports neither as running nor as finished.
-func (e *Engine) runMissing(w *worker, r *run, ev *Looked) {
+func (e *Engine) runMissing(w *worker, r *run, ev *RenewalAnswered) {
 	switch r.phase {
 	case planned:
 		if !r.restored {
@@ -147,14 +147,14 @@
 	case starting:
 		return // the start command may still be under way; its answer decides
 	case running:
-		if ev.Sent.After(r.startSentAt.Add(e.cfg.SettleStart)) {
+		if ev.SentAt.After(r.startSentAt.Add(e.cfg.StartReportTimeout)) {
 			// The run was confirmed and is not reported as finished: the worker lost it.
 			e.stopRun(r, "missing on its worker")
 		}
 	case unconfirmed:
 		e.stopRun(r, "start unconfirmed")
 	case stopping:
-		if !r.stopConfirmedAt.IsZero() && ev.Sent.After(r.stopConfirmedAt) {
+		if !r.stopConfirmedAt.IsZero() && ev.SentAt.After(r.stopConfirmedAt) {
 			e.endRun(r, EndedStopped, "", "absent after the stop")
 		}
 	}
@@ -171,14 +171,14 @@
 		if !w.reported {
 			end = e.startedAt.Add(e.cfg.MaxLease + time.Duration(float64(e.cfg.MaxLease)*2*clockDrift))
 		}
-		if e.now.Before(end.Add(e.cfg.LapseMargin)) {
+		if e.now.Before(end.Add(e.cfg.LeaseExpiryMargin)) {
 			continue
 		}
 		for _, r := range w.sortedRuns() {
 			if !r.startSent {
 				continue
 			}
-			e.endRun(r, EndedLapsed, "", "lease expired without contact")
+			e.endRun(r, EndedLeaseExpired, "", "lease expired without contact")
 		}
 	}
 }
--- a/internal/cell/engine/schedule.go
+++ b/internal/cell/engine/schedule.go
@@ -121,7 +121,7 @@
 func (e *Engine) request(s *stepRun, count int) placement.Request {
 	return placement.Request{
 		Need: s.charge, Count: count, AllOrNothing: s.spec.Gang, SameRack: s.spec.SameRack,
-		PreferredRack: s.spec.PreferredRack, OffRackMultiplier: e.cfg.FarPenalty, MaxPerWorker: s.spec.MaxPerWorker,
+		PreferredRack: s.spec.PreferredRack, OffRackMultiplier: e.cfg.OffRackMultiplier, MaxPerWorker: s.spec.MaxPerWorker,
 	}
 }
 
--- a/internal/cell/engine/stragglers.go
+++ b/internal/cell/engine/stragglers.go
@@ -73,7 +73,7 @@
 	if r.progressAt.IsZero() || r.task.step.spec.LongRunning || r.percent >= 99 {
 		return false
 	}
-	if r.task.step.spec.Gang && r.percent == 0 && e.now.Sub(r.startSentAt) < e.cfg.GangWait+minStallTime {
+	if r.task.step.spec.Gang && r.percent == 0 && e.now.Sub(r.startSentAt) < e.cfg.GangStartTimeout+minStallTime {
 		return false // it may be waiting for the other members
 	}
 	// One percent of progress takes a hundredth of the runtime.
@@ -111,7 +111,7 @@
 	if !r.task.step.spec.Checkpoints {
 		return remaining > untilLeave+drainOverstay
 	}
-	return untilLeave < e.cfg.StopTime+evacuationMargin
+	return untilLeave < e.cfg.MaxStopDuration+evacuationMargin
 }
 
 const (
--- a/internal/cell/engine/types.go
+++ b/internal/cell/engine/types.go
@@ -8,37 +8,37 @@
 	"pollenbend/internal/cell/record"
 )
 
-// Listed is a worker's entry in the platform's directory.
-type Listed struct {
-	ID       string
-	Life     int64 // incarnation of the worker's process; zero if unknown
-	Address  string
-	Service  string
-	Zone     string
-	Labels   []string
-	Capacity job.Resources
-	Draining bool
-	Leaves   time.Duration // minimum time until a draining worker leaves
+// WorkerInfo is a worker's entry in the platform's directory.
+type WorkerInfo struct {
+	ID          string
+	Incarnation int64 // incarnation of the worker's process; zero if unknown
+	Address     string
+	Service     string
+	Zone        string
+	Labels      []string
+	Capacity    job.Resources
+	Draining    bool
+	LeavesIn    time.Duration // minimum time until a draining worker leaves
 }
 
-// How is the way in which a run ended.
-type How uint8
+// EndReason is the way in which a run ended.
+type EndReason uint8
 
 // The ways in which a run ends.
 const (
-	EndedUnknown How = iota
+	EndedUnknown EndReason = iota
 	EndedDone
-	EndedFailed  // because of the task or of the worker
-	EndedStopped // by a stop command
-	EndedLapsed  // the lease expired
-	EndedBroken  // another member of the gang ended
-	EndedAlone   // the other members of the gang did not start in time
+	EndedFailed         // because of the task or of the worker
+	EndedStopped        // by a stop command
+	EndedLeaseExpired   // the lease expired
+	EndedGangBroken     // another member of the gang ended
+	EndedGangIncomplete // the other members of the gang did not start in time
 )
 
 var howNames = [...]string{"unknown", "done", "failed", "stopped", "lapsed", "broken", "alone"}
 
 // String returns the name of h that logs use.
-func (h How) String() string { return howNames[h] }
+func (h EndReason) String() string { return howNames[h] }
 
 // RunStatus is a run that a worker reports as running.
 type RunStatus struct {
@@ -54,16 +54,16 @@
 	Number     int64 // position in the worker's list of finished runs
 	Task       string
 	Run        int
-	How        How
+	Reason     EndReason
 	Checkpoint string
 }
 
 // Report is a worker's answer to a renewal.
 type Report struct {
-	Life    int64 // the worker's incarnation
-	Clock   int64 // the worker's clock, in ms
-	Running []RunStatus
-	Ended   []RunEnd
+	Incarnation int64 // the worker's incarnation
+	Clock       int64 // the worker's clock, in ms
+	Running     []RunStatus
+	Ended       []RunEnd
 }
 
 // Refusal is the reason why a worker did not carry out a command.
@@ -71,16 +71,16 @@
 
 // The refusals of a worker.
 const (
-	Accepted  Refusal = iota
-	Unknown           // no answer: the command may be carried out, now or later
-	Fenced            // the worker has seen a newer leader
-	OldRun            // this run, or a newer one of the task, has ended on the worker
-	TooLate           // the deadline in the command had passed
-	NoRoom            // the run would exceed the worker's capacity
-	BadTicket         // the adviser's ticket is not valid
-	OtherLife         // the command names another incarnation of the worker
-	Unhealthy         // the worker reports that it accepts no work
-	Invalid           // the command is malformed
+	Accepted         Refusal = iota
+	NoAnswer                 // no answer: the command may be carried out, now or later
+	Fenced                   // the worker has seen a newer leader
+	StaleRun                 // this run, or a newer one of the task, has ended on the worker
+	DeadlinePassed           // the deadline in the command had passed
+	NoCapacity               // the run would exceed the worker's capacity
+	BadTicket                // the adviser's ticket is not valid
+	OtherIncarnation         // the command names another incarnation of the worker
+	Unhealthy                // the worker reports that it accepts no work
+	Invalid                  // the command is malformed
 )
 
 var refusalNames = [...]string{"accepted", "unknown", "fenced", "old_run", "too_late", "no_room", "bad_ticket", "other_life", "unhealthy", "invalid"}
@@ -123,33 +123,33 @@
 	// PolicyChanged carries a new version of the declarations.
 	PolicyChanged struct{ Policy *policy.Policy }
 	// WorkersListed carries the complete directory of workers.
-	WorkersListed struct{ Workers []Listed }
-	// Looked is the outcome of a renewal (Look). Report is nil if there was no answer.
-	Looked struct {
-		Worker string
-		Life   int64     // incarnation that the renewal named
-		Sent   time.Time // when the renewal was sent
-		Report *Report
-		Fenced bool // the worker has seen a newer leader
-		// OtherLife reports whether the worker answered that it is another incarnation.
-		OtherLife bool
+	WorkersListed struct{ Workers []WorkerInfo }
+	// RenewalAnswered is the outcome of a renewal (Look). Report is nil if there was no answer.
+	RenewalAnswered struct {
+		Worker      string
+		Incarnation int64     // incarnation that the renewal named
+		SentAt      time.Time // when the renewal was sent
+		Report      *Report
+		Fenced      bool // the worker has seen a newer leader
+		// OtherIncarnation reports whether the worker answered that it is another incarnation.
+		OtherIncarnation bool
 	}
 	// StartAnswered is the outcome of a Start.
 	StartAnswered struct {
-		Start   *Start
-		Refusal Refusal
-		Life    int64 // incarnation of the worker that answered, zero if unknown
-		Clock   int64 // the worker's clock, in ms
+		Start       *Start
+		Refusal     Refusal
+		Incarnation int64 // incarnation of the worker that answered, zero if unknown
+		Clock       int64 // the worker's clock, in ms
 	}
 	// StopAnswered is the outcome of a Stop.
 	StopAnswered struct {
-		Stop    *Stop
-		Refusal Refusal
-		Life    int64 // incarnation of the worker that answered, zero if unknown
+		Stop        *Stop
+		Refusal     Refusal
+		Incarnation int64 // incarnation of the worker that answered, zero if unknown
 	}
-	// Advised is the outcome of a call to the adviser (Ask).
-	Advised struct {
-		Ask  *Ask
+	// AdviceAnswered is the outcome of a call to the adviser (Ask).
+	AdviceAnswered struct {
+		Call *AdviceCall
 		Good map[string]string // ticket by worker
 		OK   bool              // the call succeeded
 		TTL  time.Duration     // how long the tickets are valid
@@ -159,10 +159,10 @@
 		Append  *Append
 		Outcome AppendOutcome
 	}
-	// StoreAnswered reports that the store is reachable again.
-	StoreAnswered struct{}
-	// ArmsChanged carries the delegates: the instances that can call the adviser.
-	ArmsChanged struct{ Arms []string }
+	// StoreRecovered reports that the store is reachable again.
+	StoreRecovered struct{}
+	// DelegatesChanged carries the delegates: the instances that can call the adviser.
+	DelegatesChanged struct{ Delegates []string }
 )
 
 // Actions that Engine.Settle returns.
@@ -175,50 +175,50 @@
 	}
 	// Start is a command to a worker to run a task.
 	Start struct {
-		Worker     string
-		Address    string
-		Life       int64 // incarnation of the worker that the command is meant for
-		Task       string
-		Run        int
-		Payload    string
-		Deadline   int64 // end of the lease on the worker's clock, in ms
-		Checkpoint string
-		Ticket     string
-		Timeout    time.Duration // for an answer
-		run        *run
+		Worker      string
+		Address     string
+		Incarnation int64 // incarnation of the worker that the command is meant for
+		Task        string
+		Run         int
+		Payload     string
+		Deadline    int64 // end of the lease on the worker's clock, in ms
+		Checkpoint  string
+		Ticket      string
+		Timeout     time.Duration // for an answer
+		run         *run
 	}
 	// Stop is a command to a worker to end a run.
 	Stop struct {
-		Worker  string
-		Address string
-		Life    int64 // incarnation of the worker that the command is meant for
-		Task    string
-		Run     int
-		Timeout time.Duration // for an answer
-		run     *run
+		Worker      string
+		Address     string
+		Incarnation int64 // incarnation of the worker that the command is meant for
+		Task        string
+		Run         int
+		Timeout     time.Duration // for an answer
+		run         *run
 	}
-	// Look is a renewal: it extends the lease of all runs on a worker, acknowledges
+	// Renew is a renewal: it extends the lease of all runs on a worker, acknowledges
 	// the finished runs up to Cursor and asks which runs the worker has.
-	Look struct {
-		Worker   string
-		Address  string
-		Life     int64         // incarnation of the worker that the renewal is meant for
-		Deadline int64         // end of the lease on the worker's clock, in ms; zero leaves the lease as it is
-		Cursor   int64         // number of the last finished run that is stored
-		Wait     time.Duration // maximum time that the worker may delay its answer
-		Timeout  time.Duration // for an answer
+	Renew struct {
+		Worker      string
+		Address     string
+		Incarnation int64         // incarnation of the worker that the renewal is meant for
+		Deadline    int64         // end of the lease on the worker's clock, in ms; zero leaves the lease as it is
+		Cursor      int64         // number of the last finished run that is stored
+		MaxWait     time.Duration // maximum time that the worker may delay its answer
+		Timeout     time.Duration // for an answer
 	}
-	// Ask is a call to the adviser about a step, which the delegate Arm makes.
-	Ask struct {
-		Arm     string // name of an instance
-		Step    string
-		Workers []string
-		Cost    time.Duration // expected duration of the call
-		step    *stepRun
-		sentAt  time.Time
+	// AdviceCall is a call to the adviser about a step, which the delegate Arm makes.
+	AdviceCall struct {
+		Delegate string // name of an instance
+		Step     string
+		Workers  []string
+		Cost     time.Duration // expected duration of the call
+		step     *stepRun
+		sentAt   time.Time
 	}
 	// StepDown reports that another leader has taken over.
-	StepDown struct{ Why string }
+	StepDown struct{ Reason string }
 )
 
 // Outcome is the outcome of a caller's request.
--- a/internal/cell/engine/workers.go
+++ b/internal/cell/engine/workers.go
@@ -111,7 +111,7 @@
 }
 
 // workersListed applies the directory of workers.
-func (e *Engine) workersListed(list []Listed) {
+func (e *Engine) workersListed(list []WorkerInfo) {
 	present := make(map[string]bool, len(list))
 	for i := range list {
 		l := &list[i]
@@ -121,7 +121,7 @@
 			w = newWorker(l.ID)
 			e.workers[l.ID] = w
 			e.workerList = append(e.workerList, w)
-			e.log.Info("worker found", "worker", l.ID, "life", l.Life, "service", l.Service, "zone", l.Zone)
+			e.log.Info("worker found", "worker", l.ID, "life", l.Incarnation, "service", l.Service, "zone", l.Zone)
 		}
 		e.workerListed(w, l)
 	}
@@ -136,22 +136,22 @@
 }
 
 // workerListed applies the directory's entry of a worker.
-func (e *Engine) workerListed(w *worker, l *Listed) {
-	if l.Life != 0 && w.incarnation != 0 && l.Life < w.incarnation {
+func (e *Engine) workerListed(w *worker, l *WorkerInfo) {
+	if l.Incarnation != 0 && w.incarnation != 0 && l.Incarnation < w.incarnation {
 		return // the entry is older than the worker's restart
 	}
-	if l.Life != 0 && w.incarnation != 0 && l.Life > w.incarnation {
-		e.newIncarnation(w, l.Life, "directory")
+	if l.Incarnation != 0 && w.incarnation != 0 && l.Incarnation > w.incarnation {
+		e.newIncarnation(w, l.Incarnation, "directory")
 	}
 	if w.incarnation == 0 {
-		w.incarnation = l.Life
+		w.incarnation = l.Incarnation
 	}
 	w.listed = true
 	w.address, w.service, w.labels, w.capacity = l.Address, l.Service, l.Labels, l.Capacity
 	w.rack = rackOf(l.Labels)
 	if l.Draining && !w.draining {
-		w.leavesAt = e.now.Add(l.Leaves)
-		e.log.Info("worker draining", "worker", w.id, "leaves_ms", l.Leaves.Milliseconds(), "runs", len(w.runs))
+		w.leavesAt = e.now.Add(l.LeavesIn)
+		e.log.Info("worker draining", "worker", w.id, "leaves_ms", l.LeavesIn.Milliseconds(), "runs", len(w.runs))
 	}
 	if w.draining != l.Draining {
 		w.draining = l.Draining
@@ -164,7 +164,7 @@
 	e.log.Info("worker restarted", "worker", w.id, "life", incarnation, "before", w.incarnation, "source", source, "runs", len(w.runs))
 	for _, r := range w.sortedRuns() {
 		if r.incarnation != incarnation {
-			e.endRun(r, EndedLapsed, "", "worker restarted")
+			e.endRun(r, EndedLeaseExpired, "", "worker restarted")
 		}
 	}
 	w.incarnation = incarnation
@@ -182,7 +182,7 @@
 func (e *Engine) forgetWorkers() {
 	kept := e.workerList[:0]
 	for _, w := range e.workerList {
-		if !w.listed && len(w.runs) == 0 && w.unstoredBatches == 0 && e.now.Sub(w.unlistedSince) > e.cfg.ForgetWorker {
+		if !w.listed && len(w.runs) == 0 && w.unstoredBatches == 0 && e.now.Sub(w.unlistedSince) > e.cfg.UnlistedWorkerRetention {
 			delete(e.workers, w.id)
 			continue
 		}
@@ -207,10 +207,10 @@
 		if w.renewalInFlight || e.now.Before(w.nextRenewal) || w.address == "" {
 			continue
 		}
-		if !w.listed && len(w.runs) == 0 && e.now.Sub(w.unlistedSince) > e.cfg.UnlistedLooks {
+		if !w.listed && len(w.runs) == 0 && e.now.Sub(w.unlistedSince) > e.cfg.UnlistedRenewalWindow {
 			continue
 		}
-		if w.unstoredBatches > 0 && e.now.Sub(w.renewalSentAt) < e.cfg.LookWait {
+		if w.unstoredBatches > 0 && e.now.Sub(w.renewalSentAt) < e.cfg.RenewalMaxWait {
 			continue // it would report finished runs again that are being stored
 		}
 		e.renew(w)
@@ -221,7 +221,7 @@
 func (e *Engine) renew(w *worker) {
 	w.renewalInFlight = true
 	w.renewalSentAt = e.now
-	wait := e.cfg.LookWait
+	wait := e.cfg.RenewalMaxWait
 	if !w.reported || w.missedRenewals > 0 || w.renewWithoutWait || w.unstoredBatches > 0 {
 		wait = 0
 	}
@@ -232,7 +232,7 @@
 		// have certainly ended some time after the last answer.
 		deadline = w.extendLease(e.cfg.Lease, e.now)
 	}
-	e.emit(&Look{Worker: w.id, Address: w.address, Life: w.incarnation, Deadline: deadline, Cursor: w.cursor, Wait: wait, Timeout: wait + renewalAnswerTimeout})
+	e.emit(&Renew{Worker: w.id, Address: w.address, Incarnation: w.incarnation, Deadline: deadline, Cursor: w.cursor, MaxWait: wait, Timeout: wait + renewalAnswerTimeout})
 }
 
 // renewalAnswerTimeout is the timeout of a renewal beyond the time that the worker may
@@ -245,7 +245,7 @@
 const unknownRunRenewalDelay = 50 * time.Millisecond
 
 // renewalAnswered applies the outcome of a renewal.
-func (e *Engine) renewalAnswered(ev *Looked) {
+func (e *Engine) renewalAnswered(ev *RenewalAnswered) {
 	w := e.workers[ev.Worker]
 	if w == nil {
 		return
@@ -259,14 +259,14 @@
 		e.renewalFailed(w, ev)
 		return
 	}
-	if ev.Report.Life != 0 && ev.Report.Life != w.incarnation {
-		if w.incarnation != 0 && ev.Report.Life < w.incarnation {
+	if ev.Report.Incarnation != 0 && ev.Report.Incarnation != w.incarnation {
+		if w.incarnation != 0 && ev.Report.Incarnation < w.incarnation {
 			return
 		}
 		if w.incarnation != 0 {
-			e.newIncarnation(w, ev.Report.Life, "renewal")
+			e.newIncarnation(w, ev.Report.Incarnation, "renewal")
 		}
-		w.incarnation = ev.Report.Life
+		w.incarnation = ev.Report.Incarnation
 	}
 	first := !w.reported
 	if w.missedRenewals > 0 {
@@ -281,7 +281,7 @@
 	w.reported = true
 	for _, r := range w.sortedRuns() {
 		if r.incarnation != 0 && w.incarnation != 0 && r.incarnation != w.incarnation {
-			e.endRun(r, EndedLapsed, "", "worker restarted")
+			e.endRun(r, EndedLeaseExpired, "", "worker restarted")
 		}
 	}
 	e.applyEnds(w, ev.Report)
@@ -297,24 +297,24 @@
 	case w.unknownRuns > 0:
 		w.nextRenewal = e.now.Add(unknownRunRenewalDelay) // the worker gets no tasks until these runs have ended
 	case len(w.runs) == 0:
-		w.nextRenewal = e.now.Add(e.cfg.IdleLook)
+		w.nextRenewal = e.now.Add(e.cfg.IdleRenewalInterval)
 	}
 }
 
 // renewalFailed handles a renewal without a report.
-func (e *Engine) renewalFailed(w *worker, ev *Looked) {
+func (e *Engine) renewalFailed(w *worker, ev *RenewalAnswered) {
 	w.missedRenewals++
-	w.nextRenewal = e.now.Add(e.cfg.LookRetry)
+	w.nextRenewal = e.now.Add(e.cfg.RenewalRetryDelay)
 	if w.missedRenewals == 1 {
 		w.nextRenewal = e.now // the answer, and with it ends of runs, may have been lost
 		e.log.Warn("worker does not answer", "worker", w.id, "life", w.incarnation, "runs", len(w.runs), "last_answer_ms", e.msSince(w.lastAnswer))
 	}
-	if ev.OtherLife && ev.Life == w.incarnation && w.incarnation != 0 {
+	if ev.OtherIncarnation && ev.Incarnation == w.incarnation && w.incarnation != 0 {
 		// The directory's entry is older than the worker's restart. The worker's next
 		// report contains the new incarnation.
 		w.incarnation = 0
 		for _, r := range w.sortedRuns() {
-			e.endRun(r, EndedLapsed, "", "worker restarted")
+			e.endRun(r, EndedLeaseExpired, "", "worker restarted")
 		}
 		w.reported = false
 	}
--- a/internal/cell/engine/world_commands_test.go
+++ b/internal/cell/engine/world_commands_test.go
@@ -29,23 +29,23 @@
 
 // handleStart carries out a start command on a worker.
 func (w *world) handleStart(s *simWorker, a *Start, sent time.Time) any {
-	ev := &StartAnswered{Start: a, Life: s.incarnation, Clock: w.now.UnixMilli()}
+	ev := &StartAnswered{Start: a, Incarnation: s.incarnation, Clock: w.now.UnixMilli()}
 	switch {
-	case a.Life != s.incarnation:
-		ev.Refusal = OtherLife
+	case a.Incarnation != s.incarnation:
+		ev.Refusal = OtherIncarnation
 		return ev
 	case w.term < s.fence || a.run.worker == nil:
 		ev.Refusal = Fenced
 		return ev
 	case a.Deadline < w.now.UnixMilli():
-		ev.Refusal = TooLate
+		ev.Refusal = DeadlinePassed
 		return ev
 	}
 	if r := s.runs[a.Task]; r != nil && r.run == a.Run {
 		return ev
 	}
 	if s.endedRuns[a.Task] >= a.Run {
-		ev.Refusal = OldRun
+		ev.Refusal = StaleRun
 		return ev
 	}
 	if end := time.UnixMilli(a.Deadline); end.After(s.leaseEnd) {
@@ -156,9 +156,9 @@
 
 // handleStop carries out a stop command on a worker.
 func (w *world) handleStop(s *simWorker, a *Stop) any {
-	ev := &StopAnswered{Stop: a, Life: s.incarnation}
-	if a.Life != s.incarnation {
-		ev.Refusal = OtherLife
+	ev := &StopAnswered{Stop: a, Incarnation: s.incarnation}
+	if a.Incarnation != s.incarnation {
+		ev.Refusal = OtherIncarnation
 		return ev
 	}
 	s.endedRuns[a.Task] = max(s.endedRuns[a.Task], a.Run)
@@ -169,16 +169,16 @@
 }
 
 // handleRenewal carries out a renewal on a worker.
-func (w *world) handleRenewal(e *Engine, a *Look) {
+func (w *world) handleRenewal(e *Engine, a *Renew) {
 	s := w.workers[a.Worker]
 	sent := w.now
 	if s.unreachable {
-		w.deliver(e, a.Timeout, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent})
+		w.deliver(e, a.Timeout, &RenewalAnswered{Worker: a.Worker, Incarnation: a.Incarnation, SentAt: sent})
 		return
 	}
 	w.after(simTick, func() {
-		if s.incarnation != a.Life {
-			w.deliver(e, 0, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent, OtherLife: true})
+		if s.incarnation != a.Incarnation {
+			w.deliver(e, 0, &RenewalAnswered{Worker: a.Worker, Incarnation: a.Incarnation, SentAt: sent, OtherIncarnation: true})
 			return
 		}
 		s.fence = max(s.fence, w.term)
@@ -188,28 +188,28 @@
 		w.acknowledge(s, a.Cursor)
 		answered, lost := false, false
 		answer := func() {
-			if a.Wait > 0 && w.lostRenewals > 0 {
+			if a.MaxWait > 0 && w.lostRenewals > 0 {
 				w.lostRenewals--
 				lost = true
 			}
-			if lost || answered || s.unreachable || s.incarnation != a.Life {
+			if lost || answered || s.unreachable || s.incarnation != a.Incarnation {
 				return
 			}
 			answered = true
-			w.deliver(e, simTick, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent, Report: w.report(s)})
+			w.deliver(e, simTick, &RenewalAnswered{Worker: a.Worker, Incarnation: a.Incarnation, SentAt: sent, Report: w.report(s)})
 		}
 		w.after(a.Timeout, func() {
 			if !answered && w.engine == e {
 				answered = true
-				e.Handle(w.now, &Looked{Worker: a.Worker, Life: a.Life, Sent: sent})
+				e.Handle(w.now, &RenewalAnswered{Worker: a.Worker, Incarnation: a.Incarnation, SentAt: sent})
 			}
 		})
-		if a.Wait == 0 || len(s.ended) > 0 {
+		if a.MaxWait == 0 || len(s.ended) > 0 {
 			answer()
 			return
 		}
 		s.pendingAnswers = append(s.pendingAnswers, answer)
-		w.after(a.Wait, answer)
+		w.after(a.MaxWait, answer)
 	})
 }
 
@@ -222,7 +222,7 @@
 			kept = append(kept, end)
 			continue
 		}
-		if end.How == EndedDone && end.Number > s.expiredEnds {
+		if end.Reason == EndedDone && end.Number > s.expiredEnds {
 			w.tasks[end.Task].acknowledged = true
 		}
 	}
@@ -231,7 +231,7 @@
 
 // report returns a worker's report.
 func (w *world) report(s *simWorker) *Report {
-	r := &Report{Life: s.incarnation, Clock: w.now.UnixMilli(), Ended: slices.Clone(s.ended)}
+	r := &Report{Incarnation: s.incarnation, Clock: w.now.UnixMilli(), Ended: slices.Clone(s.ended)}
 	for _, name := range sortedKeys(s.runs) {
 		u := s.runs[name]
 		percent := int(100 * float64(w.now.Sub(u.workStart())) / (float64(max(1, u.runtime)) * s.slowdown))
@@ -244,7 +244,7 @@
 }
 
 // answerAdvice returns the adviser's tickets by worker.
-func (w *world) answerAdvice(a *Ask) map[string]string {
+func (w *world) answerAdvice(a *AdviceCall) map[string]string {
 	w.workersAsked += len(a.Workers)
 	good := make(map[string]string)
 	if w.isGood != nil {
--- a/internal/cell/engine/world_test.go
+++ b/internal/cell/engine/world_test.go
@@ -150,11 +150,11 @@
 
 func simConfig() Config {
 	return Config{
-		Lease: 6 * time.Second, MaxLease: 10 * time.Second, LapseMargin: 100 * time.Millisecond, StopTime: 200 * time.Millisecond,
-		GangWait: 3 * time.Second, FarPenalty: 2,
-		LookWait: 600 * time.Millisecond, LookRetry: 150 * time.Millisecond, IdleLook: 2 * time.Second, UnlistedLooks: 15 * time.Second,
-		ForgetWorker: 30 * time.Second, StopRetry: 400 * time.Millisecond, SettleStart: 500 * time.Millisecond,
-		Planning: 4 * time.Millisecond, KeepEnded: 150 * time.Second,
+		Lease: 6 * time.Second, MaxLease: 10 * time.Second, LeaseExpiryMargin: 100 * time.Millisecond, MaxStopDuration: 200 * time.Millisecond,
+		GangStartTimeout: 3 * time.Second, OffRackMultiplier: 2,
+		RenewalMaxWait: 600 * time.Millisecond, RenewalRetryDelay: 150 * time.Millisecond, IdleRenewalInterval: 2 * time.Second, UnlistedRenewalWindow: 15 * time.Second,
+		UnlistedWorkerRetention: 30 * time.Second, StopRetryDelay: 400 * time.Millisecond, StartReportTimeout: 500 * time.Millisecond,
+		MinPlacementInterval: 4 * time.Millisecond, EndedJobRetention: 150 * time.Second,
 	}
 }
 
@@ -204,7 +204,7 @@
 	w.uncertain = make(map[*Append]bool)
 	cfg := simConfig()
 	cfg.Term = w.term
-	cfg.Clock = func() time.Time { return w.now }
+	cfg.Now = func() time.Time { return w.now }
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	w.engine = New(cfg, log, func() int64 { return w.now.UnixMilli() }, w.now)
 	debugLog(w.t, w)
@@ -227,7 +227,7 @@
 	}
 	w.engine.Restore(state)
 	w.engine.Handle(w.now, &PolicyChanged{Policy: w.policy})
-	w.engine.Handle(w.now, &ArmsChanged{Arms: w.delegates})
+	w.engine.Handle(w.now, &DelegatesChanged{Delegates: w.delegates})
 }
 
 func (w *world) must(err error) {
@@ -237,12 +237,12 @@
 }
 
 // directory returns the directory's entries of the workers.
-func (w *world) directory() []Listed {
-	var list []Listed
+func (w *world) directory() []WorkerInfo {
+	var list []WorkerInfo
 	for _, id := range w.ids {
 		s := w.workers[id]
-		list = append(list, Listed{ID: id, Life: s.incarnation, Address: id, Service: "s", Labels: []string{"a", "r1-" + id[2:]},
-			Capacity: s.capacity, Draining: s.draining, Leaves: 2 * time.Second})
+		list = append(list, WorkerInfo{ID: id, Incarnation: s.incarnation, Address: id, Service: "s", Labels: []string{"a", "r1-" + id[2:]},
+			Capacity: s.capacity, Draining: s.draining, LeavesIn: 2 * time.Second})
 	}
 	return list
 }
@@ -294,13 +294,13 @@
 		}
 		switch {
 		case w.now.After(s.leaseEnd):
-			w.endRun(s, r, EndedLapsed)
+			w.endRun(s, r, EndedLeaseExpired)
 		case r.stopped:
 			w.endRun(s, r, EndedStopped)
 		case r.gang != nil && !w.gangComplete(r):
-			if w.now.Sub(r.startedAt) > simConfig().GangWait {
+			if w.now.Sub(r.startedAt) > simConfig().GangStartTimeout {
 				w.gangTimeouts++
-				w.endRun(s, r, EndedAlone)
+				w.endRun(s, r, EndedGangIncomplete)
 			}
 		case w.now.Sub(r.workStart()) >= time.Duration(float64(r.runtime)*s.slowdown):
 			how := EndedDone
@@ -315,7 +315,7 @@
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 // endRun ends a run and answers the renewals that wait for an end.
-func (w *world) endRun(s *simWorker, r *simRun, how How) {
+func (w *world) endRun(s *simWorker, r *simRun, how EndReason) {
 	delete(s.runs, r.task)
 	delete(w.tasks[r.task].runs, s.id)
 	s.endedRuns[r.task] = max(s.endedRuns[r.task], r.run)
@@ -325,7 +325,7 @@
 		w.turnaround[id] = w.now.Sub(w.submittedAt[id])
 	}
 	s.lastEnd++
-	s.ended = append(s.ended, RunEnd{Number: s.lastEnd, Task: r.task, Run: r.run, How: how})
+	s.ended = append(s.ended, RunEnd{Number: s.lastEnd, Task: r.task, Run: r.run, Reason: how})
 	waiting := s.pendingAnswers
 	s.pendingAnswers = nil
 	for _, f := range waiting {
@@ -338,10 +338,10 @@
 
 // endGang ends the other members of a complete gang after one has ended: as done if it is
 // done, else as broken.
-func (w *world) endGang(r *simRun, how How) {
+func (w *world) endGang(r *simRun, how EndReason) {
 	delete(r.gang.members, r.task)
 	if how != EndedDone {
-		how = EndedBroken
+		how = EndedGangBroken
 	}
 	if r.gang.completeAt.IsZero() {
 		return
@@ -379,7 +379,7 @@
 	case *Start:
 		sent := w.now
 		fn := func(s *simWorker) any { return w.handleStart(s, a, sent) }
-		unanswered := &StartAnswered{Start: a, Refusal: Unknown}
+		unanswered := &StartAnswered{Start: a, Refusal: NoAnswer}
 		switch {
 		case w.lostStarts > 0:
 			w.lostStarts--
@@ -393,17 +393,17 @@
 			w.sendCommand(e, a.Worker, a.Timeout, fn, unanswered)
 		}
 	case *Stop:
-		w.sendCommand(e, a.Worker, a.Timeout, func(s *simWorker) any { return w.handleStop(s, a) }, &StopAnswered{Stop: a, Refusal: Unknown})
-	case *Look:
+		w.sendCommand(e, a.Worker, a.Timeout, func(s *simWorker) any { return w.handleStop(s, a) }, &StopAnswered{Stop: a, Refusal: NoAnswer})
+	case *Renew:
 		w.handleRenewal(e, a)
-	case *Ask:
+	case *AdviceCall:
 		if w.adviceFails {
-			w.deliver(e, simTick, &Advised{Ask: a})
+			w.deliver(e, simTick, &AdviceAnswered{Call: a})
 			return
 		}
-		w.deliver(e, a.Cost, &Advised{Ask: a, OK: true, TTL: 1500 * time.Millisecond, Good: w.answerAdvice(a)})
+		w.deliver(e, a.Cost, &AdviceAnswered{Call: a, OK: true, TTL: 1500 * time.Millisecond, Good: w.answerAdvice(a)})
 	case *StepDown:
-		w.t.Fatalf("the engine stepped down: %s", a.Why)
+		w.t.Fatalf("the engine stepped down: %s", a.Reason)
 	}
 }
 
--- a/internal/cell/node/actions.go
+++ b/internal/cell/node/actions.go
@@ -49,17 +49,17 @@
 			defer cancel()
 			l.post(l.n.ports.Workers.Stop(ctx, l.rec.Term, a))
 		}()
-	case *engine.Look:
+	case *engine.Renew:
 		go func() {
 			ctx, cancel := context.WithTimeout(l.ctx, a.Timeout)
 			defer cancel()
 			l.n.stats.Looks.Inc(1)
 			l.post(l.n.ports.Workers.Look(ctx, l.rec.Term, a))
 		}()
-	case *engine.Ask:
+	case *engine.AdviceCall:
 		go l.advise(a)
 	case *engine.StepDown:
-		l.stop(a.Why)
+		l.stop(a.Reason)
 	}
 }
 
@@ -141,12 +141,12 @@
 }
 
 // advise calls the adviser, through the delegate that the engine has chosen.
-func (l *leader) advise(a *engine.Ask) {
+func (l *leader) advise(a *engine.AdviceCall) {
 	ctx, cancel := context.WithTimeout(l.ctx, a.Cost+adviceMargin)
 	defer cancel()
 	l.n.stats.Advice.Inc(1)
-	ev := &engine.Advised{Ask: a}
-	if a.Arm == l.n.settings.Instance {
+	ev := &engine.AdviceAnswered{Call: a}
+	if a.Delegate == l.n.settings.Instance {
 		good, ttl, err := l.n.ports.Adviser.Advise(ctx, a.Step, a.Workers)
 		ev.Good, ev.TTL, ev.OK = good, ttl, err == nil
 		l.post(ev)
@@ -154,7 +154,7 @@
 	}
 	var reply AdviseReply
 	args := AdviseArgs{Step: a.Step, Workers: a.Workers, Timeout: a.Cost + adviceMargin}
-	address := l.followerAddress(a.Arm)
+	address := l.followerAddress(a.Delegate)
 	if address == "" {
 		l.post(ev)
 		return
--- a/internal/cell/node/cluster_test.go
+++ b/internal/cell/node/cluster_test.go
@@ -83,10 +83,10 @@
 	set := Settings{
 		Instance: name, Address: m.address, CPUShare: share,
 		Engine: engine.Config{
-			Lease: 6 * time.Second, MaxLease: 10 * time.Second, LapseMargin: 100 * time.Millisecond, StopTime: 200 * time.Millisecond,
-			GangWait: 3 * time.Second, FarPenalty: 2, LookWait: time.Second, LookRetry: 150 * time.Millisecond, IdleLook: 2 * time.Second,
-			UnlistedLooks: 15 * time.Second, ForgetWorker: 30 * time.Second, StopRetry: time.Second, SettleStart: 500 * time.Millisecond,
-			Planning: 4 * time.Millisecond, KeepEnded: 150 * time.Second, Clock: time.Now,
+			Lease: 6 * time.Second, MaxLease: 10 * time.Second, LeaseExpiryMargin: 100 * time.Millisecond, MaxStopDuration: 200 * time.Millisecond,
+			GangStartTimeout: 3 * time.Second, OffRackMultiplier: 2, RenewalMaxWait: time.Second, RenewalRetryDelay: 150 * time.Millisecond, IdleRenewalInterval: 2 * time.Second,
+			UnlistedRenewalWindow: 15 * time.Second, UnlistedWorkerRetention: 30 * time.Second, StopRetryDelay: time.Second, StartReportTimeout: 500 * time.Millisecond,
+			MinPlacementInterval: 4 * time.Millisecond, EndedJobRetention: 150 * time.Second, Now: time.Now,
 		},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) { return c.dial(ctx, m, address) },
 	}
@@ -341,11 +341,11 @@
 }
 
 // Poll implements Directory.
-func (d directory) Poll(ctx context.Context) ([]engine.Listed, bool, error) {
+func (d directory) Poll(ctx context.Context) ([]engine.WorkerInfo, bool, error) {
 	if err := d.call(ctx, func() error { return nil }); err != nil {
 		return nil, false, err
 	}
-	return []engine.Listed{{ID: "w", Life: 1, Address: "w:1", Service: "s", Capacity: job.Resources{CPU: 64000, MemMB: 64000}}}, !d.reported.Swap(true), nil
+	return []engine.WorkerInfo{{ID: "w", Incarnation: 1, Address: "w:1", Service: "s", Capacity: job.Resources{CPU: 64000, MemMB: 64000}}}, !d.reported.Swap(true), nil
 }
 
 // oneWorker accepts every command.
@@ -353,19 +353,19 @@
 
 // Start implements Workers.
 func (oneWorker) Start(_ context.Context, _ int64, command *engine.Start) *engine.StartAnswered {
-	return &engine.StartAnswered{Start: command, Life: 1, Clock: time.Now().UnixMilli()}
+	return &engine.StartAnswered{Start: command, Incarnation: 1, Clock: time.Now().UnixMilli()}
 }
 
 // Stop implements Workers.
 func (oneWorker) Stop(_ context.Context, _ int64, command *engine.Stop) *engine.StopAnswered {
-	return &engine.StopAnswered{Stop: command, Life: 1}
+	return &engine.StopAnswered{Stop: command, Incarnation: 1}
 }
 
 // Look implements Workers.
-func (oneWorker) Look(_ context.Context, _ int64, renewal *engine.Look) *engine.Looked {
+func (oneWorker) Look(_ context.Context, _ int64, renewal *engine.Renew) *engine.RenewalAnswered {
 	sent := time.Now()
-	time.Sleep(renewal.Wait)
-	return &engine.Looked{Worker: renewal.Worker, Life: 1, Sent: sent, Report: &engine.Report{Life: 1, Clock: time.Now().UnixMilli()}}
+	time.Sleep(renewal.MaxWait)
+	return &engine.RenewalAnswered{Worker: renewal.Worker, Incarnation: 1, SentAt: sent, Report: &engine.Report{Incarnation: 1, Clock: time.Now().UnixMilli()}}
 }
 
 // fixedPolicy declares one queue. It reads the store at intervals, as the platform's
--- a/internal/cell/node/leader.go
+++ b/internal/cell/node/leader.go
@@ -236,7 +236,7 @@
 		}
 		if !slices.Equal(names, previous) {
 			previous = names
-			l.post(&engine.ArmsChanged{Arms: names})
+			l.post(&engine.DelegatesChanged{Delegates: names})
 			l.n.cellInstances.Store(newInstanceList(live, l.n.settings.CPUShare))
 		}
 		l.considerHandover(live)
@@ -260,7 +260,7 @@
 }
 
 // pollOnce reads the list of workers from the directory.
-func (l *leader) pollOnce() ([]engine.Listed, bool, error) {
+func (l *leader) pollOnce() ([]engine.WorkerInfo, bool, error) {
 	ctx, cancel := context.WithTimeout(l.ctx, storeTimeout)
 	defer cancel()
 	list, changed, err := l.n.ports.Directory.Poll(ctx)
--- a/internal/cell/node/ports.go
+++ b/internal/cell/node/ports.go
@@ -57,7 +57,7 @@
 type Directory interface {
 	// Poll returns the whole list. changed is false if the list is the same as at the
 	// previous poll, which may have been made in an earlier term of this instance.
-	Poll(ctx context.Context) (list []engine.Listed, changed bool, err error)
+	Poll(ctx context.Context) (list []engine.WorkerInfo, changed bool, err error)
 }
 
 // Workers sends commands and renewals to workers. The results report what is known of
@@ -65,7 +65,7 @@
 type Workers interface {
 	Start(ctx context.Context, fence int64, command *engine.Start) *engine.StartAnswered
 	Stop(ctx context.Context, fence int64, command *engine.Stop) *engine.StopAnswered
-	Look(ctx context.Context, fence int64, renewal *engine.Look) *engine.Looked
+	Look(ctx context.Context, fence int64, renewal *engine.Renew) *engine.RenewalAnswered
 }
 
 // Adviser is asked which workers may run a step.
--- a/internal/cell/node/term.go
+++ b/internal/cell/node/term.go
@@ -145,7 +145,7 @@
 func (l *leader) noteStoreAnswer() {
 	l.n.setNow(&l.n.storeAnsweredAt)
 	if l.storeFailingSince.Swap(0) != 0 {
-		l.post(&engine.StoreAnswered{})
+		l.post(&engine.StoreRecovered{})
 	}
 }
 
