--- a/internal/cell/node/actions.go
+++ b/internal/cell/node/actions.go
@@ -53,8 +53,8 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(l.ctx, a.Timeout)
 			defer cancel()
-			l.n.stats.Looks.Inc(1)
-			l.post(l.n.ports.Workers.Look(ctx, l.rec.Term, a))
+			l.n.stats.Renewals.Inc(1)
+			l.post(l.n.ports.Workers.Renew(ctx, l.rec.Term, a))
 		}()
 	case *engine.AdviceCall:
 		go l.advise(a)
@@ -104,7 +104,7 @@
 			break
 		}
 		l.noteStoreFailure(err)
-		uncertain = uncertain || !errors.Is(err, ErrNotDone)
+		uncertain = uncertain || !errors.Is(err, ErrNoEffect)
 		if first && !uncertain {
 			return engine.NotStored, true
 		}
--- a/internal/cell/node/cluster_test.go
+++ b/internal/cell/node/cluster_test.go
@@ -262,7 +262,7 @@
 	}
 	switch mode {
 	case storeRefuses:
-		return errors.Mark(errors.New("refused"), ErrNotDone)
+		return errors.Mark(errors.New("refused"), ErrNoEffect)
 	case storeNoAnswer:
 		<-ctx.Done()
 		return ctx.Err()
@@ -361,8 +361,8 @@
 	return &engine.StopAnswered{Stop: command, Incarnation: 1}
 }
 
-// Look implements Workers.
-func (oneWorker) Look(_ context.Context, _ int64, renewal *engine.Renew) *engine.RenewalAnswered {
+// Renew implements Workers.
+func (oneWorker) Renew(_ context.Context, _ int64, renewal *engine.Renew) *engine.RenewalAnswered {
 	sent := time.Now()
 	time.Sleep(renewal.MaxWait)
 	return &engine.RenewalAnswered{Worker: renewal.Worker, Incarnation: 1, SentAt: sent, Report: &engine.Report{Incarnation: 1, Clock: time.Now().UnixMilli()}}
@@ -382,7 +382,7 @@
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, time.Second)
 		if p.m.store.call(call, func() error { return nil }) == nil {
-			p.m.StoreSeen()
+			p.m.NoteStoreAnswer()
 		}
 		<-call.Done()
 		cancel()
--- a/internal/cell/node/node.go
+++ b/internal/cell/node/node.go
@@ -408,5 +408,5 @@
 	n.lead(ctx, &rec, next+1)
 }
 
-// StoreSeen records that the store has answered this instance.
-func (n *Node) StoreSeen() { n.setNow(&n.storeAnsweredAt) }
+// NoteStoreAnswer records that the store has answered this instance.
+func (n *Node) NoteStoreAnswer() { n.setNow(&n.storeAnsweredAt) }
--- a/internal/cell/node/ports.go
+++ b/internal/cell/node/ports.go
@@ -30,8 +30,8 @@
 	ErrConflict = errors.New("another write came first")
 	// ErrFenced means that a later term has begun.
 	ErrFenced = errors.New("a later term has begun")
-	// ErrNotDone means that the call had no effect.
-	ErrNotDone = errors.New("the call had no effect")
+	// ErrNoEffect means that the call had no effect.
+	ErrNoEffect = errors.New("the call had no effect")
 )
 
 // Store stores durably the leadership record and the state of the cell.
@@ -65,7 +65,7 @@
 type Workers interface {
 	Start(ctx context.Context, fence int64, command *engine.Start) *engine.StartAnswered
 	Stop(ctx context.Context, fence int64, command *engine.Stop) *engine.StopAnswered
-	Look(ctx context.Context, fence int64, renewal *engine.Renew) *engine.RenewalAnswered
+	Renew(ctx context.Context, fence int64, renewal *engine.Renew) *engine.RenewalAnswered
 }
 
 // Adviser is asked which workers may run a step.
--- a/internal/cell/node/stats.go
+++ b/internal/cell/node/stats.go
@@ -10,7 +10,7 @@
 type Stats struct {
 	Registry gometrics.Registry
 	Events   gometrics.Counter // events handled by the engine
-	Looks    gometrics.Counter // renewals sent to workers
+	Renewals gometrics.Counter // renewals sent to workers
 	Advice   gometrics.Counter // calls to the adviser
 	Append   gometrics.Timer   // time until a batch is stored
 	Start    gometrics.Timer   // time until a worker answers a start command
@@ -22,7 +22,7 @@
 	return &Stats{
 		Registry: r,
 		Events:   gometrics.NewRegisteredCounter(metrics.Name("cell_events_total"), r),
-		Looks:    gometrics.NewRegisteredCounter(metrics.Name("cell_looks_total"), r),
+		Renewals: gometrics.NewRegisteredCounter(metrics.Name("cell_looks_total"), r),
 		Advice:   gometrics.NewRegisteredCounter(metrics.Name("cell_advice_total"), r),
 		Append:   gometrics.NewRegisteredTimer(metrics.Name("cell_append_seconds"), r),
 		Start:    gometrics.NewRegisteredTimer(metrics.Name("cell_start_seconds"), r),
