--- a/internal/scheduler/example_test.go
+++ b/internal/scheduler/example_test.go
@@ -15,7 +15,7 @@
 	q := queue.New(queue.Config{})
 	s.Fleet.Upsert(model.Worker{ID: "w1", Capacity: model.Resources{MilliCPU: 4000}})
 	q.SetCapacity(s.Fleet.Capacity())
-	q.SetShare("aftercare", 3)
+	q.SetWeight("aftercare", 3)
 
 	for _, id := range []model.TaskID{"t1", "t2"} {
 		task := &model.Task{ID: id, Team: "aftercare", Demand: model.Resources{MilliCPU: 3000}}
--- a/internal/scheduler/experiment_test.go
+++ b/internal/scheduler/experiment_test.go
@@ -131,7 +131,7 @@
 	x.q.SetCapacity(x.s.Fleet.Capacity())
 	x.accounts.SetCapacity(x.s.Fleet.Capacity())
 	for i := range benchTeams {
-		x.q.SetShare(teamName(i), weightOf(i))
+		x.q.SetWeight(teamName(i), weightOf(i))
 		x.accounts.SetWeight(teamName(i), weightOf(i))
 	}
 	return x
--- a/internal/scheduler/queue/queue.go
+++ b/internal/scheduler/queue/queue.go
@@ -73,7 +73,7 @@
 
 // Queue holds the waiting tasks of all teams.
 type Queue struct {
-	Book *shares.Accounts // weights and usage of the teams
+	Accounts *shares.Accounts // weights and usage of the teams
 
 	maxWaiting int
 	limiter    Limiter
@@ -95,7 +95,7 @@
 		c.Limiter = Unlimited{}
 	}
 	return &Queue{
-		Book:       shares.NewAccounts(),
+		Accounts:   shares.NewAccounts(),
 		maxWaiting: c.MaxWaiting,
 		limiter:    c.Limiter,
 		teams:      make(map[model.TeamID]*team),
@@ -182,14 +182,14 @@
 		seq = it.seq
 		delete(q.popped, t.ID)
 	}
-	q.Book.Charge(t.Team, t.Demand)
+	q.Accounts.Charge(t.Team, t.Demand)
 	q.updateHeaps(q.team(t.Team))
 	return seq
 }
 
-// Return requeues a started task that didn't run at its old position, seq. Its
+// Requeue requeues a started task that didn't run at its old position, seq. Its
 // charge must have been refunded by Ended.
-func (q *Queue) Return(t *model.Task, seq uint64) {
+func (q *Queue) Requeue(t *model.Task, seq uint64) {
 	if q.waiting[t.ID] == nil {
 		q.add(q.team(t.Team), &item{t, seq}, (*lane).insert)
 	}
@@ -201,7 +201,7 @@
 // Ended refunds a started task's charge and releases its permit. Call it when the
 // worker has confirmed the end.
 func (q *Queue) Ended(t *model.Task) {
-	q.Book.Refund(t.Team, t.Demand)
+	q.Accounts.Refund(t.Team, t.Demand)
 	q.limiter.Release(t.Team)
 	tm := q.team(t.Team)
 	tm.limited = false
@@ -298,21 +298,21 @@
 	q.updateHeaps(tm)
 }
 
-// SetShare sets a team's weight.
-func (q *Queue) SetShare(name model.TeamID, share int64) {
-	q.Book.SetWeight(name, share)
+// SetWeight sets a team's weight.
+func (q *Queue) SetWeight(name model.TeamID, share int64) {
+	q.Accounts.SetWeight(name, share)
 	q.updateHeaps(q.team(name))
 }
 
-// SetUsage sets the resources that a team's tasks placed by other instances hold.
-func (q *Queue) SetUsage(name model.TeamID, usage model.Resources) {
-	q.Book.SetRemoteUsage(name, usage)
+// SetRemoteUsage sets the resources that a team's tasks placed by other instances hold.
+func (q *Queue) SetRemoteUsage(name model.TeamID, usage model.Resources) {
+	q.Accounts.SetRemoteUsage(name, usage)
 	q.updateHeaps(q.team(name))
 }
 
 // SetCapacity sets the total capacity of the fleet.
 func (q *Queue) SetCapacity(capacity model.Resources) {
-	q.Book.SetCapacity(capacity)
+	q.Accounts.SetCapacity(capacity)
 	for _, tm := range q.teams {
 		q.updateHeaps(tm)
 	}
@@ -323,7 +323,7 @@
 	if tm != nil {
 		return tm
 	}
-	tm = &team{name: name, account: q.Book.Account(name), ceiling: math.Inf(1)}
+	tm = &team{name: name, account: q.Accounts.Account(name), ceiling: math.Inf(1)}
 	for class := range tm.entries {
 		tm.entries[class] = heapEntry{team: tm, class: class, pos: -1}
 	}
--- a/internal/scheduler/queue/queue_test.go
+++ b/internal/scheduler/queue/queue_test.go
@@ -35,13 +35,13 @@
 func TestShareOrderIsWeighted(t *testing.T) {
 	q := New(Config{})
 	q.SetCapacity(model.Resources{MilliCPU: 100})
-	q.SetShare("b", 3)
+	q.SetWeight("b", 3)
 	for i := range 8 {
 		require.NoError(t, q.Push(task("a", fmt.Sprint("a", i))))
 		require.NoError(t, q.Push(task("b", fmt.Sprint("b", i))))
 	}
 	require.Equal(t, []model.TaskID{"a0", "b0", "b1", "b2", "a1", "b3", "b4", "b5"}, startNext(q, 8))
-	q.SetUsage("b", model.Resources{MilliCPU: 50})
+	q.SetRemoteUsage("b", model.Resources{MilliCPU: 50})
 	require.Equal(t, []model.TaskID{"a2", "a3", "a4"}, startNext(q, 3))
 }
 
--- a/internal/scheduler/queue/rebalance.go
+++ b/internal/scheduler/queue/rebalance.go
@@ -51,7 +51,7 @@
 // wantedShare returns the dominant share that a team holds or waits for. Tasks that
 // can't be placed now, because every worker that they may use is full, count too.
 func (q *Queue) wantedShare(tm *team) float64 {
-	return shares.DominantShare(tm.account.Usage().Add(tm.demand), q.Book.Capacity())
+	return shares.DominantShare(tm.account.Usage().Add(tm.demand), q.Accounts.Capacity())
 }
 
 // atCeiling reports whether a team has reached its ceiling.
--- a/internal/service/requests/dispatch.go
+++ b/internal/service/requests/dispatch.go
@@ -53,8 +53,8 @@
 	}
 	s.queue.SetCapacity(capacity)
 	for _, t := range s.config.Teams() {
-		s.queue.SetShare(t.Name, t.Share)
-		s.queue.SetUsage(t.Name, s.usageElsewhere(t.Name))
+		s.queue.SetWeight(t.Name, t.Share)
+		s.queue.SetRemoteUsage(t.Name, s.usageElsewhere(t.Name))
 	}
 	s.queue.Rebalance()
 }
@@ -74,7 +74,7 @@
 			}
 		}
 	}
-	remaining := usage.Sub(s.queue.Book.Account(team).Local())
+	remaining := usage.Sub(s.queue.Accounts.Account(team).Local())
 	return model.Resources{
 		MilliCPU: max(remaining.MilliCPU, 0), MemoryMiB: max(remaining.MemoryMiB, 0),
 		Slots: max(remaining.Slots, 0), Accelerators: max(remaining.Accelerators, 0),
@@ -258,7 +258,7 @@
 	}
 	e.holder = wire.Owner{}
 	s.setPhase(e, phaseWaiting)
-	s.queue.Return(&e.task, e.queueRank)
+	s.queue.Requeue(&e.task, e.queueRank)
 }
 
 func (s *Service) onRunning(e *entry, from wire.Owner, st wire.TaskState) {
