--- a/internal/scheduler/queue/queue.go
+++ b/internal/scheduler/queue/queue.go
@@ -333,7 +333,7 @@
 
 // updateHeaps updates a team's entry in the heap of each class.
 func (q *Queue) updateHeaps(tm *team) {
-	level := tm.account.Level()
+	level := tm.account.WeightedShare()
 	for class := range tm.entries {
 		skipped := tm.limited || class != classUrgent && tm.atCeiling()
 		eligible := !skipped && tm.backlogs[class].size > 0 && tm.backlogs[class].next() != nil
--- a/internal/scheduler/shares/shares.go
+++ b/internal/scheduler/shares/shares.go
@@ -31,9 +31,9 @@
 // dimensions, from 0 to 1.
 func (a *Account) DominantShare() float64 { return a.dominantShare }
 
-// Level returns the dominant share divided by the team's weight. The team with the
+// WeightedShare returns the dominant share divided by the team's weight. The team with the
 // lowest level is served next.
-func (a *Account) Level() float64 { return a.dominantShare / float64(a.weight) }
+func (a *Account) WeightedShare() float64 { return a.dominantShare / float64(a.weight) }
 
 // Accounts holds the accounts of all teams.
 type Accounts struct {
--- a/internal/scheduler/shares/shares_test.go
+++ b/internal/scheduler/shares/shares_test.go
@@ -38,7 +38,7 @@
 	b.SetRemoteUsage("a", model.Resources{MilliCPU: 100})
 	b.Charge("a", model.Resources{MemoryMiB: 400})
 	require.InDelta(t, 0.4, b.Account("a").DominantShare(), 1e-9)
-	require.InDelta(t, 0.2, b.Account("a").Level(), 1e-9)
+	require.InDelta(t, 0.2, b.Account("a").WeightedShare(), 1e-9)
 	b.Refund("a", model.Resources{MemoryMiB: 350})
 	require.InDelta(t, 0.1, b.Account("a").DominantShare(), 1e-9)
 	b.SetCapacity(model.Resources{MilliCPU: 200, MemoryMiB: 1000})
--- a/internal/service/requests/jobtasks.go
+++ b/internal/service/requests/jobtasks.go
@@ -139,7 +139,7 @@
 func (s *Service) explainWait(e *entry) []byte {
 	r := Reason{
 		Phase: e.phase.String(), TeamWaiting: s.queue.Waiting(e.task.Team),
-		TeamLevel: s.queue.Accounts.Account(e.task.Team).Level(), Here: s.ledger.Explain(&e.task),
+		TeamLevel: s.queue.Accounts.Account(e.task.Team).WeightedShare(), Here: s.ledger.Explain(&e.task),
 	}
 	for _, o := range s.members.Live() {
 		r.AtLimit = r.AtLimit || s.recentlyRefused(o.Instance, e.task.Team)
