--- a/internal/scheduler/fleet/fleet.go
+++ b/internal/scheduler/fleet/fleet.go
@@ -123,8 +123,8 @@
 	return lost
 }
 
-// SetUnschedulable adds or removes reasons that restrict new work on a worker.
-func (f *Fleet) SetUnschedulable(id model.WorkerID, reason Reason, on bool) error {
+// SetReasons adds or removes reasons that restrict new work on a worker.
+func (f *Fleet) SetReasons(id model.WorkerID, reason Reason, on bool) error {
 	n := f.byID[id]
 	if n == nil {
 		return ErrUnknownWorker
--- a/internal/scheduler/fleet/fleet_test.go
+++ b/internal/scheduler/fleet/fleet_test.go
@@ -104,7 +104,7 @@
 			"remove": func(*rapid.T) { f.Remove(worker()) },
 			"reason": func(t *rapid.T) {
 				reason := rapid.SampledFrom([]Reason{ReasonNoLease, ReasonQuarantined, ReasonProbation}).Draw(t, "reason")
-				_ = f.SetUnschedulable(worker(), reason, rapid.Bool().Draw(t, "on"))
+				_ = f.SetReasons(worker(), reason, rapid.Bool().Draw(t, "on"))
 			},
 			"assume": func(*rapid.T) { _ = f.Assume(0, task(), worker()) },
 			"adopt": func(t *rapid.T) {
@@ -172,8 +172,8 @@
 	require.NoError(t, f.Confirm(time.Second, "t"))
 	require.NotNil(t, f.Release("t"))
 	require.Nil(t, f.Release("t"))
-	require.NoError(t, f.SetUnschedulable("w", ReasonNoLease, true))
+	require.NoError(t, f.SetReasons("w", ReasonNoLease, true))
 	require.ErrorIs(t, f.Assume(0, task, "w"), ErrUnschedulable)
-	require.NoError(t, f.SetUnschedulable("w", ReasonNoLease, false))
+	require.NoError(t, f.SetReasons("w", ReasonNoLease, false))
 	require.NoError(t, f.Assume(0, task, "w"))
 }
--- a/internal/scheduler/quarantine/quarantine.go
+++ b/internal/scheduler/quarantine/quarantine.go
@@ -193,5 +193,5 @@
 // setReason adds or removes a reason of the worker in the fleet. It ignores the error
 // for a worker that was removed.
 func (k *Keeper) setReason(r *record, reason fleet.Reason, on bool) {
-	_ = k.fleet.SetUnschedulable(r.worker, reason, on)
+	_ = k.fleet.SetReasons(r.worker, reason, on)
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -120,7 +120,7 @@
 	s := smallFleet()
 	for _, n := range s.Fleet.Nodes() {
 		if n.Zone() != "z0" {
-			require.NoError(t, s.Fleet.SetUnschedulable(n.Worker.ID, fleet.ReasonNoLease, true))
+			require.NoError(t, s.Fleet.SetReasons(n.Worker.ID, fleet.ReasonNoLease, true))
 		}
 	}
 	for i := range 4 {
@@ -186,7 +186,7 @@
 	task := &model.Task{Demand: smallDemand, Require: model.Selector{{Label: "new", Op: model.OpExists}}}
 	require.True(t, s.Feasible(task).Success())
 	last := s.Fleet.Node("w5").Worker
-	require.NoError(t, s.Fleet.SetUnschedulable("w5", fleet.ReasonNoLease, true))
+	require.NoError(t, s.Fleet.SetReasons("w5", fleet.ReasonNoLease, true))
 	require.True(t, s.Feasible(task).Success(), "a worker without a lease may return")
 	last.Leaving = true
 	s.Fleet.Upsert(last)
