--- a/internal/scheduler/experiment_test.go
+++ b/internal/scheduler/experiment_test.go
@@ -75,7 +75,7 @@
 	s            *Scheduler
 	q            *queue.Queue
 	planner      *preempt.Planner
-	keeper       *quarantine.Keeper
+	keeper       *quarantine.Tracker
 	estimator    *estimates.Estimator
 	accounts     *shares.Accounts // by the actual team, also when the queue has one team only
 	w            *workload
--- a/internal/scheduler/quarantine/quarantine.go
+++ b/internal/scheduler/quarantine/quarantine.go
@@ -45,8 +45,8 @@
 	until         time.Duration // end of the last quarantine
 }
 
-// Keeper observes the outcomes of tasks and quarantines workers of a fleet.
-type Keeper struct {
+// Tracker observes the outcomes of tasks and quarantines workers of a fleet.
+type Tracker struct {
 	fleet       *fleet.Fleet
 	records     map[model.WorkerID]*record
 	quarantined []*record // in the order of their quarantine
@@ -54,14 +54,14 @@
 }
 
 // New returns a Keeper for a fleet.
-func New(f *fleet.Fleet) *Keeper {
-	return &Keeper{fleet: f, records: make(map[model.WorkerID]*record), jobs: newJobTable()}
+func New(f *fleet.Fleet) *Tracker {
+	return &Tracker{fleet: f, records: make(map[model.WorkerID]*record), jobs: newJobTable()}
 }
 
 // Observe records the outcome of a task that ran to its end and reports whether the
 // worker was quarantined for it. The caller leaves out tasks that were stopped,
 // because these are no evidence about a worker.
-func (k *Keeper) Observe(now time.Duration, worker model.WorkerID, t *model.Task, failed bool) bool {
+func (k *Tracker) Observe(now time.Duration, worker model.WorkerID, t *model.Task, failed bool) bool {
 	key := keyOf(t)
 	job := k.jobs.get(key)
 	r := k.record(worker)
@@ -82,7 +82,7 @@
 
 // addFailure adds evidence. A job that has succeeded on no other worker counts only
 // once against a worker.
-func (k *Keeper) addFailure(r *record, key jobKey, job *jobRecord) {
+func (k *Tracker) addFailure(r *record, key jobKey, job *jobRecord) {
 	rate, succeeded := job.failureRate(r.worker)
 	weight := max(0, math.Log(brokenFailureRate/rate))
 	if succeeded {
@@ -99,7 +99,7 @@
 }
 
 // addSuccess reduces the evidence.
-func (k *Keeper) addSuccess(r *record, job *jobRecord) {
+func (k *Tracker) addSuccess(r *record, job *jobRecord) {
 	rate, _ := job.failureRate(r.worker)
 	r.evidence = max(0, r.evidence+math.Log((1-brokenFailureRate)/(1-rate)))
 	if r.evidence == 0 {
@@ -109,7 +109,7 @@
 
 // quarantine starts a quarantine. It returns false if the worker isn't in the fleet or
 // too many workers are in quarantine.
-func (k *Keeper) quarantine(now time.Duration, r *record) bool {
+func (k *Tracker) quarantine(now time.Duration, r *record) bool {
 	if k.fleet.Node(r.worker) == nil || len(k.quarantined) >= k.maxQuarantined() {
 		return false
 	}
@@ -128,13 +128,13 @@
 }
 
 // maxQuarantined returns how many workers may be in quarantine at once.
-func (k *Keeper) maxQuarantined() int {
+func (k *Tracker) maxQuarantined() int {
 	return max(1, int(maxQuarantinedRatio*float64(len(k.fleet.Nodes()))))
 }
 
 // Tick puts workers whose quarantine has ended on probation, and deletes the records
 // of quarantined workers that are no longer in the fleet.
-func (k *Keeper) Tick(now time.Duration) {
+func (k *Tracker) Tick(now time.Duration) {
 	k.quarantined = slices.DeleteFunc(k.quarantined, func(r *record) bool {
 		if k.fleet.Node(r.worker) == nil {
 			delete(k.records, r.worker)
@@ -157,7 +157,7 @@
 // updateProbation ends a probation after enough successes. It quarantines the worker
 // again, and returns true, when a task fails and the evidence is at least half of
 // evidenceThreshold: a job fails there that other workers run.
-func (k *Keeper) updateProbation(now time.Duration, r *record, failed bool) bool {
+func (k *Tracker) updateProbation(now time.Duration, r *record, failed bool) bool {
 	if failed && r.evidence >= evidenceThreshold/2 {
 		return k.quarantine(now, r)
 	}
@@ -172,16 +172,16 @@
 	return false
 }
 
-// Forget deletes the record of a worker that was removed from the fleet.
-func (k *Keeper) Forget(worker model.WorkerID) {
+// Remove deletes the record of a worker that was removed from the fleet.
+func (k *Tracker) Remove(worker model.WorkerID) {
 	delete(k.records, worker)
 	k.quarantined = slices.DeleteFunc(k.quarantined, func(r *record) bool { return r.worker == worker })
 }
 
 // Quarantined returns the number of workers in quarantine.
-func (k *Keeper) Quarantined() int { return len(k.quarantined) }
+func (k *Tracker) Quarantined() int { return len(k.quarantined) }
 
-func (k *Keeper) record(worker model.WorkerID) *record {
+func (k *Tracker) record(worker model.WorkerID) *record {
 	r := k.records[worker]
 	if r == nil {
 		r = &record{worker: worker}
@@ -192,6 +192,6 @@
 
 // setReason adds or removes a reason of the worker in the fleet. It ignores the error
 // for a worker that was removed.
-func (k *Keeper) setReason(r *record, reason fleet.Reason, on bool) {
+func (k *Tracker) setReason(r *record, reason fleet.Reason, on bool) {
 	_ = k.fleet.SetReasons(r.worker, reason, on)
 }
--- a/internal/scheduler/quarantine/quarantine_test.go
+++ b/internal/scheduler/quarantine/quarantine_test.go
@@ -34,7 +34,7 @@
 
 // observeRandomOutcomes reports random outcomes to a new Keeper: bad workers fail every
 // task, job 0 fails on every worker, and other jobs fail one time in twenty.
-func observeRandomOutcomes(f *fleet.Fleet, bad map[model.WorkerID]bool, outcomes int) *Keeper {
+func observeRandomOutcomes(f *fleet.Fleet, bad map[model.WorkerID]bool, outcomes int) *Tracker {
 	const seed = 11
 	rng := rand.New(rand.NewPCG(seed, seed))
 	k := New(f)
--- a/internal/service/ledger/ledger.go
+++ b/internal/service/ledger/ledger.go
@@ -192,7 +192,7 @@
 		s.removeTask(t)
 	}
 	s.placement.scheduler.Fleet.Remove(w.info.ID)
-	s.placement.quarantine.Forget(w.info.ID)
+	s.placement.quarantine.Remove(w.info.ID)
 	delete(s.workers, w.info.ID)
 	if i, ok := slices.BinarySearch(s.workerIDs, w.info.ID); ok {
 		s.workerIDs = slices.Delete(s.workerIDs, i, i+1)
--- a/internal/service/ledger/placement.go
+++ b/internal/service/ledger/placement.go
@@ -17,7 +17,7 @@
 // placement chooses workers for tasks among the workers held here.
 type placement struct {
 	scheduler  *scheduler.Scheduler
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Tracker
 	preempter  *preempt.Planner
 	pending    map[model.TaskID]*pendingStart
 	gangHolds  map[model.TaskID]model.TeamID // gang tasks with reserved resources
