--- a/internal/scheduler/experiment_test.go
+++ b/internal/scheduler/experiment_test.go
@@ -245,12 +245,12 @@
 func (x *experiment) tryPreempt(t *model.Task) bool {
 	switch {
 	case t.Class == model.ClassUrgent:
-		return x.preempt(t, preempt.ForUrgent)
+		return x.preempt(t, preempt.EligibleForUrgent)
 	case !x.belowTarget(t):
 		return false
 	case x.reclaim && x.reclaims < maxReclaimsPerTick && x.now >= x.retryAt[t.Team]:
 		x.reclaims++
-		if x.preempt(t, preempt.ForShare(x.accounts, x.targets)) {
+		if x.preempt(t, preempt.EligibleForShare(x.accounts, x.targets)) {
 			return true
 		}
 		x.retryAt[t.Team] = x.now + preemptRetryDelay
--- a/internal/scheduler/preempt/preempt.go
+++ b/internal/scheduler/preempt/preempt.go
@@ -93,13 +93,13 @@
 // Eligible reports whether a task may be a victim.
 type Eligible func(victim *model.Task) bool
 
-// ForUrgent makes every task that isn't urgent eligible, for urgent preemptors.
-func ForUrgent(victim *model.Task) bool { return victim.Class != model.ClassUrgent }
+// EligibleForUrgent makes every task that isn't urgent eligible, for urgent preemptors.
+func EligibleForUrgent(victim *model.Task) bool { return victim.Class != model.ClassUrgent }
 
-// ForShare makes tasks eligible that aren't urgent and whose team stays above its
+// EligibleForShare makes tasks eligible that aren't urgent and whose team stays above its
 // fair share without them, for preemptors of a team below its own. targets holds the
 // fair shares as dominant shares by team.
-func ForShare(accounts *shares.Accounts, targets map[model.TeamID]float64) Eligible {
+func EligibleForShare(accounts *shares.Accounts, targets map[model.TeamID]float64) Eligible {
 	return func(victim *model.Task) bool {
 		if victim.Class == model.ClassUrgent {
 			return false
--- a/internal/scheduler/preempt/preempt_test.go
+++ b/internal/scheduler/preempt/preempt_test.go
@@ -59,7 +59,7 @@
 			for _, r := range tt.running {
 				require.NoError(t, f.Assume(r.since, r.task, "w"))
 			}
-			plan, status := New(1).Plan(now, f, urgent("u", 400), ForUrgent)
+			plan, status := New(1).Plan(now, f, urgent("u", 400), EligibleForUrgent)
 			require.Equal(t, tt.want == nil, !status.Success())
 			var got []model.TaskID
 			for _, v := range plan.Victims {
@@ -75,7 +75,7 @@
 	p := New(1)
 	require.NoError(t, f.Assume(0, victim("v", 1000, "low"), "w"))
 	u := urgent("u", 600)
-	plan, status := p.Plan(now, f, u, ForUrgent)
+	plan, status := p.Plan(now, f, u, EligibleForUrgent)
 	require.True(t, status.Success())
 	require.NoError(t, p.Apply(now, f, u, plan, now+time.Minute))
 	f.Release("v")
@@ -91,12 +91,12 @@
 	require.NoError(t, f.Assume(0, victim("v2", 500, "low"), "w"))
 	for i := range 2 {
 		u := urgent(fmt.Sprint("u", i), 500)
-		plan, status := p.Plan(now, f, u, ForUrgent)
+		plan, status := p.Plan(now, f, u, EligibleForUrgent)
 		require.True(t, status.Success())
 		require.Len(t, plan.Victims, 1)
 		require.NoError(t, p.Apply(now, f, u, plan, now+time.Minute))
 	}
-	_, status := p.Plan(now, f, urgent("u3", 500), ForUrgent)
+	_, status := p.Plan(now, f, urgent("u3", 500), EligibleForUrgent)
 	require.Equal(t, plugin.Unfit, status.Code)
 }
 
@@ -111,7 +111,7 @@
 		v.Job = "job"
 		require.NoError(t, f.Assume(at, v, "w"))
 		u := urgent("u", 500)
-		plan, status := p.Plan(at, f, u, ForUrgent)
+		plan, status := p.Plan(at, f, u, EligibleForUrgent)
 		if status.Success() {
 			stops++
 			require.NoError(t, p.Apply(at, f, u, plan, at+time.Second))
@@ -135,7 +135,7 @@
 	}
 	targets := map[model.TeamID]float64{"a": 0.33, "b": 0.33, "c": 0.33}
 	waiting := &model.Task{ID: "w", Team: "c", Demand: model.Resources{MilliCPU: 300}}
-	plan, status := New(1).Plan(now, f, waiting, ForShare(accounts, targets))
+	plan, status := New(1).Plan(now, f, waiting, EligibleForShare(accounts, targets))
 	require.True(t, status.Success())
 	require.Len(t, plan.Victims, 1)
 	require.Equal(t, model.TaskID("rich2"), plan.Victims[0].Task)
--- a/internal/scheduler/preempt_bench_test.go
+++ b/internal/scheduler/preempt_bench_test.go
@@ -34,7 +34,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				start := time.Now()
-				plan, status := p.Plan(time.Minute, s.Fleet, urgent, preempt.ForUrgent)
+				plan, status := p.Plan(time.Minute, s.Fleet, urgent, preempt.EligibleForUrgent)
 				_ = latencies.RecordValue(int64(time.Since(start)))
 				require.True(b, status.Success())
 				cost += plan.Cost
--- a/internal/service/ledger/placement.go
+++ b/internal/service/ledger/placement.go
@@ -56,7 +56,7 @@
 func (s *Service) preempt(d wire.Dispatch) (model.WorkerID, bool) {
 	now := s.env.Now()
 	t := &d.Task
-	plan, status := s.placement.preempter.Plan(now, s.placement.scheduler.Fleet, t, preempt.ForUrgent)
+	plan, status := s.placement.preempter.Plan(now, s.placement.scheduler.Fleet, t, preempt.EligibleForUrgent)
 	if !status.Success() {
 		return "", false
 	}
