--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -189,10 +189,10 @@
 	return s
 }
 
-func (c *cell) table(at model.InstanceID) [model.Shards]ownership.Slot {
+func (c *cell) table(at model.InstanceID) [model.Shards]ownership.ShardOwner {
 	s, err := kernel.Find[*ownership.Service](c.cores[at].kernel, service.Ownership)
 	require.NoError(c.t, err)
-	return s.Slots()
+	return s.ShardOwners()
 }
 
 func teamAndKey(secret string) model.Declarations {
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -41,7 +41,7 @@
 }
 
 type ownerProbe interface {
-	Reachable() int
+	ReachableShards() int
 	Owned() []wire.ShardTerm
 	Applied() uint64
 }
@@ -79,7 +79,7 @@
 		v.Ready, v.Reason = false, "draining"
 	case !p.config.Fresh():
 		v.Ready, v.Reason = false, "neither the log nor enough peers were heard lately"
-	case 2*p.owners.Reachable() < model.Shards:
+	case 2*p.owners.ReachableShards() < model.Shards:
 		v.Ready, v.Reason = false, "most shards have no reachable owner"
 	}
 	v.WaitingCallers, v.OpenRequests = p.open.Open(), p.busy.Busy()
--- a/internal/service/gateway/gateway.go
+++ b/internal/service/gateway/gateway.go
@@ -37,9 +37,9 @@
 
 // Ownership returns the owners of shards.
 type Ownership interface {
-	Owner(model.Shard) (ownership.Slot, bool)
+	Owner(model.Shard) (ownership.ShardOwner, bool)
 	Owned() []wire.ShardTerm
-	Slots() [model.Shards]ownership.Slot
+	ShardOwners() [model.Shards]ownership.ShardOwner
 }
 
 // Members reports which instances are live.
@@ -191,7 +191,7 @@
 func (s *Service) newTicket() (string, bool) {
 	owned := s.ownership.Owned()
 	if len(owned) == 0 {
-		for i, shardOwner := range s.ownership.Slots() {
+		for i, shardOwner := range s.ownership.ShardOwners() {
 			if shardOwner.Term != 0 && s.members.IsLive(shardOwner.Owner) {
 				owned = append(owned, wire.ShardTerm{Shard: model.Shard(i), Term: shardOwner.Term})
 			}
@@ -381,7 +381,7 @@
 		Workers: s.ledger.Holding(), Covered: len(s.ledger.Coverage().Workers), Free: s.ledger.Free(),
 		Leaving: s.members.Leaving(), Open: len(s.pending),
 	}
-	for _, shardOwner := range s.ownership.Slots() {
+	for _, shardOwner := range s.ownership.ShardOwners() {
 		if shardOwner.Term != 0 {
 			c.Shards[shardOwner.Owner.Instance]++
 		}
--- a/internal/service/handover/handover.go
+++ b/internal/service/handover/handover.go
@@ -24,7 +24,7 @@
 // Ownership provides the shards that this instance owns.
 type Ownership interface {
 	Owned() []wire.ShardTerm
-	Mine(model.Shard) (term uint64, ok bool)
+	OwnedTerm(model.Shard) (term uint64, ok bool)
 	CaughtUp() bool
 }
 
--- a/internal/service/jobs/jobs.go
+++ b/internal/service/jobs/jobs.go
@@ -18,7 +18,7 @@
 
 // Ownership provides the shards that this instance owns.
 type Ownership interface {
-	Mine(model.Shard) (term uint64, ok bool)
+	OwnedTerm(model.Shard) (term uint64, ok bool)
 }
 
 // Tasks runs the tasks of jobs.
@@ -154,7 +154,7 @@
 		j = &job{spec: spec, done: make(map[int]bool)}
 		s.jobs[k] = j
 		s.order = append(s.order, k)
-		if _, mine := s.ownership.Mine(k.shard()); mine {
+		if _, mine := s.ownership.OwnedTerm(k.shard()); mine {
 			s.addTasks(j, false)
 		}
 	}
@@ -218,7 +218,7 @@
 			s.tasks.Reply(c, s.statusAnswer(k, j))
 		}
 	}
-	if _, mine := s.ownership.Mine(k.shard()); mine {
+	if _, mine := s.ownership.OwnedTerm(k.shard()); mine {
 		s.cancelTasks(j)
 	}
 }
--- a/internal/service/jobs/snapshot_test.go
+++ b/internal/service/jobs/snapshot_test.go
@@ -14,7 +14,7 @@
 
 type noOwnership struct{}
 
-func (noOwnership) Mine(model.Shard) (uint64, bool) { return 0, false }
+func (noOwnership) OwnedTerm(model.Shard) (uint64, bool) { return 0, false }
 
 type fakeTasks struct{ forgotten []model.TaskID }
 
--- a/internal/service/ledger/ledger.go
+++ b/internal/service/ledger/ledger.go
@@ -25,8 +25,8 @@
 // Ownership returns the terms and owners of shards.
 type Ownership interface {
 	// Mine returns the term of a shard that this instance owns.
-	Mine(model.Shard) (term uint64, ok bool)
-	Owner(model.Shard) (ownership.Slot, bool)
+	OwnedTerm(model.Shard) (term uint64, ok bool)
+	Owner(model.Shard) (ownership.ShardOwner, bool)
 }
 
 // Coordinator receives the states of tasks whose request shard this instance owns.
@@ -152,7 +152,7 @@
 // adoptWorker adds or updates a worker if this instance owns its shard. A new term
 // of the shard needs a new lease.
 func (s *Service) adoptWorker(info model.Worker) {
-	term, ok := s.ownership.Mine(model.ShardOfWorker(info.ID))
+	term, ok := s.ownership.OwnedTerm(model.ShardOfWorker(info.ID))
 	if !ok {
 		return
 	}
--- a/internal/service/limits/escrow.go
+++ b/internal/service/limits/escrow.go
@@ -41,7 +41,7 @@
 	s.expireGangDemands()
 	uncovered := int64(-1) // not counted yet
 	for _, team := range s.config.LimitedTeams() {
-		term, ok := s.ownership.Mine(model.ShardOfTeam(team))
+		term, ok := s.ownership.OwnedTerm(model.ShardOfTeam(team))
 		if !ok {
 			delete(s.escrows, team)
 			continue
--- a/internal/service/limits/limits.go
+++ b/internal/service/limits/limits.go
@@ -58,8 +58,8 @@
 // Ownership provides the shard owners, which are responsible for the limits of
 // teams.
 type Ownership interface {
-	Mine(model.Shard) (term uint64, ok bool)
-	Owner(model.Shard) (ownership.Slot, bool)
+	OwnedTerm(model.Shard) (term uint64, ok bool)
+	Owner(model.Shard) (ownership.ShardOwner, bool)
 	Applied() uint64
 }
 
--- a/internal/service/ownership/ownership.go
+++ b/internal/service/ownership/ownership.go
@@ -18,9 +18,9 @@
 	"pollenbend/internal/wire"
 )
 
-// Slot is the table entry of one shard. Term is 0 for a shard that has never had an
+// ShardOwner is the table entry of one shard. Term is 0 for a shard that has never had an
 // owner.
-type Slot struct {
+type ShardOwner struct {
 	Owner wire.Owner
 	Term  uint64
 }
@@ -39,7 +39,7 @@
 	members   Members
 	listeners []service.ShardHandler
 
-	table   [model.Shards]Slot
+	table   [model.Shards]ShardOwner
 	applied uint64        // offset of the last log entry applied
 	logNext uint64        // next offset of the log, as of the last read
 	logAt   time.Duration // when the log last answered
@@ -102,11 +102,11 @@
 	if int(st.Shard) >= len(s.table) || s.table[st.Shard].Term != st.Term {
 		return
 	}
-	s.setOwner(st.Shard, Slot{Owner: to, Term: offset}, service.ShardMove{OldTerm: st.Term, Planned: planned})
+	s.setOwner(st.Shard, ShardOwner{Owner: to, Term: offset}, service.ShardMove{OldTerm: st.Term, Planned: planned})
 }
 
 // setOwner changes the entry of a shard and notifies the other services.
-func (s *Service) setOwner(shard model.Shard, after Slot, move service.ShardMove) {
+func (s *Service) setOwner(shard model.Shard, after ShardOwner, move service.ShardMove) {
 	before := s.table[shard]
 	s.table[shard] = after
 	move.Shard, move.Term = shard, after.Term
@@ -212,14 +212,14 @@
 
 // Owner returns a shard's owner and term. It returns false when the shard has never
 // had an owner.
-func (s *Service) Owner(shard model.Shard) (entry Slot, ok bool) {
+func (s *Service) Owner(shard model.Shard) (entry ShardOwner, ok bool) {
 	entry = s.table[shard]
 	return entry, entry.Term != 0
 }
 
 // Mine returns the shard's term. It returns false when this instance does not own
 // the shard.
-func (s *Service) Mine(shard model.Shard) (term uint64, ok bool) {
+func (s *Service) OwnedTerm(shard model.Shard) (term uint64, ok bool) {
 	entry := s.table[shard]
 	return entry.Term, entry.Term != 0 && entry.Owner == s.env.Owner()
 }
@@ -228,7 +228,7 @@
 func (s *Service) Owned() []wire.ShardTerm {
 	var owned []wire.ShardTerm
 	for i := range s.table {
-		if term, ok := s.Mine(model.Shard(i)); ok {
+		if term, ok := s.OwnedTerm(model.Shard(i)); ok {
 			owned = append(owned, wire.ShardTerm{Shard: model.Shard(i), Term: term})
 		}
 	}
@@ -236,7 +236,7 @@
 }
 
 // Reachable returns the number of shards whose owner is live.
-func (s *Service) Reachable() int {
+func (s *Service) ReachableShards() int {
 	n := 0
 	for _, entry := range s.table {
 		if entry.Term != 0 && s.members.IsLive(entry.Owner) {
@@ -250,7 +250,7 @@
 func (s *Service) Applied() uint64 { return s.applied }
 
 // Slots returns a copy of the table, indexed by shard.
-func (s *Service) Slots() [model.Shards]Slot { return s.table }
+func (s *Service) ShardOwners() [model.Shards]ShardOwner { return s.table }
 
 // FillBeat adds to a heartbeat how far this instance has applied the log.
 func (s *Service) FillBeat(b *wire.Heartbeat) {
--- a/internal/service/requests/dispatch.go
+++ b/internal/service/requests/dispatch.go
@@ -103,7 +103,7 @@
 // the other instance with the most free task slots. It reports whether the task was
 // dispatched.
 func (s *Service) dispatch(e *entry) bool {
-	term, ok := s.ownership.Mine(e.shard)
+	term, ok := s.ownership.OwnedTerm(e.shard)
 	if !ok || s.handover.Frozen(e.shard) {
 		return false
 	}
@@ -228,7 +228,7 @@
 		return nil
 	}
 	shard := model.ShardOfTask(base)
-	if _, mine := s.ownership.Mine(shard); !mine {
+	if _, mine := s.ownership.OwnedTerm(shard); !mine {
 		return nil
 	}
 	e := &entry{
--- a/internal/service/requests/ganghold.go
+++ b/internal/service/requests/ganghold.go
@@ -44,7 +44,7 @@
 // tryStartGang continues the current round of a waiting gang, or begins one.
 func (s *Service) tryStartGang(g *gang) {
 	now := s.env.Now()
-	if _, mine := s.ownership.Mine(g.shard); !mine || s.handover.Frozen(g.shard) {
+	if _, mine := s.ownership.OwnedTerm(g.shard); !mine || s.handover.Frozen(g.shard) {
 		s.releaseHolds(g)
 		return
 	}
@@ -85,7 +85,7 @@
 		if len(tasks) == 0 {
 			continue
 		}
-		term, _ := s.ownership.Mine(g.shard)
+		term, _ := s.ownership.OwnedTerm(g.shard)
 		s.lastHoldID++
 		r.id, r.askedAt = s.lastHoldID, s.env.Now()
 		m := wire.HoldTasks{ID: r.id, Tasks: tasks, Term: term, Expires: holdDuration}
@@ -172,7 +172,7 @@
 
 // startGang dispatches every task to the holder that reserved resources for it.
 func (s *Service) startGang(g *gang) {
-	term, _ := s.ownership.Mine(g.shard)
+	term, _ := s.ownership.OwnedTerm(g.shard)
 	holds := g.holds
 	g.holds = make(map[model.TaskID]taskHold)
 	g.gatherUntil, g.failedRounds, g.notBefore = 0, 0, 0
--- a/internal/service/requests/locate.go
+++ b/internal/service/requests/locate.go
@@ -43,7 +43,7 @@
 // rounds are discarded, because a worker that was covered then may have another lease
 // holder now.
 func (s *Service) startLocateRound(l *locate, e *entry) {
-	term, ok := s.ownership.Mine(e.shard)
+	term, ok := s.ownership.OwnedTerm(e.shard)
 	if !ok {
 		delete(s.locates, l.id)
 		return
--- a/internal/service/requests/requests.go
+++ b/internal/service/requests/requests.go
@@ -29,8 +29,8 @@
 // Ownership returns the owners of shards.
 type Ownership interface {
 	// Mine returns the term of a shard that this instance owns.
-	Mine(model.Shard) (term uint64, ok bool)
-	Owner(model.Shard) (ownership.Slot, bool)
+	OwnedTerm(model.Shard) (term uint64, ok bool)
+	Owner(model.Shard) (ownership.ShardOwner, bool)
 }
 
 // Members returns the live instances and their latest heartbeats.
@@ -172,7 +172,7 @@
 func (s *Service) Serve(from wire.Owner, f wire.Forward) {
 	r := f.Request
 	shard := model.ShardOfRequest(f.Team, r.ID)
-	_, mine := s.ownership.Mine(shard)
+	_, mine := s.ownership.OwnedTerm(shard)
 	if !mine || s.handover.Frozen(shard) {
 		s.refuse(from, f, verdict.Refuse(verdict.CodeStaleAuthority, "the shard has another owner").After(retryAfter))
 		return
--- a/internal/service/snapshots/snapshots.go
+++ b/internal/service/snapshots/snapshots.go
@@ -31,7 +31,7 @@
 
 // Ownership provides the owner of the writer shard and how far the log is applied.
 type Ownership interface {
-	Mine(model.Shard) (term uint64, ok bool)
+	OwnedTerm(model.Shard) (term uint64, ok bool)
 	Applied() uint64
 	CaughtUp() bool
 }
@@ -73,7 +73,7 @@
 
 // OnTick appends a snapshot when one is due.
 func (s *Service) OnTick() {
-	if _, mine := s.ownership.Mine(writerShard); !mine || !s.due() || !s.ownership.CaughtUp() {
+	if _, mine := s.ownership.OwnedTerm(writerShard); !mine || !s.due() || !s.ownership.CaughtUp() {
 		return
 	}
 	s.appendedAt = s.env.Now()
