--- a/internal/service/ledger/dispatch.go
+++ b/internal/service/ledger/dispatch.go
@@ -207,7 +207,7 @@
 }
 
 // FillBeat adds the free resources and the version of the coverage to a heartbeat.
-func (s *Service) FillBeat(b *wire.Heartbeat) {
+func (s *Service) FillHeartbeat(b *wire.Heartbeat) {
 	b.Free = s.Free()
 	b.Coverage = s.Coverage().Version
 }
--- a/internal/service/limits/limits.go
+++ b/internal/service/limits/limits.go
@@ -179,7 +179,7 @@
 }
 
 // FillBeat adds the running tasks, ceiling and demand of each team to a heartbeat.
-func (s *Service) FillBeat(b *wire.Heartbeat) {
+func (s *Service) FillHeartbeat(b *wire.Heartbeat) {
 	s.beat = b.Seq
 	b.Teams = s.loads()
 	s.prevRefusedStarts, s.refusedStarts = s.refusedStarts, make(map[model.TeamID]int64)
--- a/internal/service/membership/membership.go
+++ b/internal/service/membership/membership.go
@@ -31,8 +31,8 @@
 // shard.
 type Service struct {
 	env          *event.Env
-	contributors []service.BeatContributor
-	listeners    []service.MemberHandler
+	contributors []service.HeartbeatContributor
+	listeners    []service.MemberDeadHandler
 
 	listed   map[model.InstanceID]platform.Instance
 	members  map[model.InstanceID]*Member
@@ -56,8 +56,8 @@
 // Bind looks up the services that contribute to heartbeats and those that handle
 // dead members.
 func (s *Service) Bind(k *kernel.Kernel) error {
-	s.contributors = kernel.All[service.BeatContributor](k)
-	s.listeners = kernel.All[service.MemberHandler](k)
+	s.contributors = kernel.All[service.HeartbeatContributor](k)
+	s.listeners = kernel.All[service.MemberDeadHandler](k)
 	return nil
 }
 
@@ -128,7 +128,7 @@
 	s.beatSeq++
 	beat := wire.Heartbeat{Seq: s.beatSeq, Leaving: s.leaving, Hears: s.reachable()}
 	for _, c := range s.contributors {
-		c.FillBeat(&beat)
+		c.FillHeartbeat(&beat)
 	}
 	for _, id := range s.Peers() {
 		s.env.Send(id, beat)
--- a/internal/service/ownership/ownership.go
+++ b/internal/service/ownership/ownership.go
@@ -102,7 +102,7 @@
 	if int(st.Shard) >= len(s.table) || s.table[st.Shard].Term != st.Term {
 		return
 	}
-	s.setOwner(st.Shard, ShardOwner{Owner: to, Term: offset}, service.ShardMove{OldTerm: st.Term, Planned: planned})
+	s.setOwner(st.Shard, ShardOwner{Owner: to, Term: offset}, service.ShardMove{OldTerm: st.Term, HandedOver: planned})
 }
 
 // setOwner changes the entry of a shard and notifies the other services.
@@ -253,7 +253,7 @@
 func (s *Service) ShardOwners() [model.Shards]ShardOwner { return s.table }
 
 // FillBeat adds to a heartbeat how far this instance has applied the log.
-func (s *Service) FillBeat(b *wire.Heartbeat) {
+func (s *Service) FillHeartbeat(b *wire.Heartbeat) {
 	b.Applied = s.applied
 	b.LogAge = s.env.Now() - s.logAt
 }
--- a/internal/service/ownership/snapshot.go
+++ b/internal/service/ownership/snapshot.go
@@ -51,7 +51,7 @@
 	for i, entry := range t.Shards {
 		if before := s.table[i]; entry.Term > before.Term {
 			s.setOwner(model.Shard(i), ShardOwner{Owner: entry.Owner, Term: entry.Term},
-				service.ShardMove{OldTerm: max(before.Term, 1), Gap: true})
+				service.ShardMove{OldTerm: max(before.Term, 1), ChangesMissed: true})
 		}
 	}
 	return nil
--- a/internal/service/requests/memory.go
+++ b/internal/service/requests/memory.go
@@ -89,7 +89,7 @@
 	imported := s.imports[m.Shard]
 	delete(s.imports, m.Shard)
 	switch {
-	case m.After == s.env.Owner() && m.Before == s.env.Owner() && !m.Gap:
+	case m.After == s.env.Owner() && m.Before == s.env.Owner() && !m.ChangesMissed:
 		// A new term of the same owner: no records are lost.
 	case m.After == s.env.Owner():
 		s.gainShard(m, imported)
@@ -105,7 +105,7 @@
 	if m.OldTerm != 0 {
 		history.lostAt = max(s.env.Now(), 1)
 	}
-	complete := m.Planned && imported != nil && imported.shard.ShardTerm.Term == m.OldTerm
+	complete := m.HandedOver && imported != nil && imported.shard.ShardTerm.Term == m.OldTerm
 	if complete {
 		history = shardHistory{exactFrom: imported.shard.ExactFrom}
 		if imported.shard.PastAge > 0 {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -64,8 +64,8 @@
 // PeerDownHandler is called when a connection to a peer is lost.
 type PeerDownHandler interface{ OnPeerDown(peer wire.Owner) }
 
-// MemberHandler is called when an incarnation of an instance is declared dead.
-type MemberHandler interface{ OnMemberDead(o wire.Owner) }
+// MemberDeadHandler is called when an incarnation of an instance is declared dead.
+type MemberDeadHandler interface{ OnMemberDead(o wire.Owner) }
 
 // ShardHandler is called when a shard gets a new owner.
 type ShardHandler interface{ OnShardMoved(m ShardMove) }
@@ -75,17 +75,17 @@
 // records. Gap means that changes in between were not observed, because the state was
 // restored from a snapshot.
 type ShardMove struct {
-	Shard   model.Shard
-	Before  wire.Owner
-	After   wire.Owner
-	OldTerm uint64
-	Term    uint64
-	Planned bool
-	Gap     bool
+	Shard         model.Shard
+	Before        wire.Owner
+	After         wire.Owner
+	OldTerm       uint64
+	Term          uint64
+	HandedOver    bool
+	ChangesMissed bool
 }
 
-// BeatContributor fills in its part of the next heartbeat.
-type BeatContributor interface{ FillBeat(*wire.Heartbeat) }
+// HeartbeatContributor fills in its part of the next heartbeat.
+type HeartbeatContributor interface{ FillHeartbeat(*wire.Heartbeat) }
 
 // WorkerHandler is called with the results of worker commands.
 type WorkerHandler interface {
