--- a/internal/service/limits/escrow.go
+++ b/internal/service/limits/escrow.go
@@ -174,15 +174,15 @@
 		return s.load(team), s.ownership.Applied(), true
 	}
 	m, ok := s.members.Member(o.Instance)
-	if !ok || m.Owner != o || m.Coverage.Version != m.Beat.Coverage {
+	if !ok || m.Owner != o || m.Coverage.Version != m.Heartbeat.Coverage {
 		return wire.TeamLoad{}, 0, false
 	}
-	for _, l := range m.Beat.Teams {
+	for _, l := range m.Heartbeat.Teams {
 		if l.Team == team {
-			return l, m.Beat.Applied, true
+			return l, m.Heartbeat.Applied, true
 		}
 	}
-	return wire.TeamLoad{Team: team}, m.Beat.Applied, true
+	return wire.TeamLoad{Team: team}, m.Heartbeat.Applied, true
 }
 
 // bound returns the highest number of tasks that a member may reach: the maximum of
@@ -216,7 +216,7 @@
 		return
 	}
 	if m, ok := s.members.Member(to.Instance); ok {
-		msg.Beat = m.Beat.Seq
+		msg.Beat = m.Heartbeat.Seq
 	}
 	s.env.Send(to.Instance, msg)
 }
--- a/internal/service/membership/membership.go
+++ b/internal/service/membership/membership.go
@@ -19,7 +19,7 @@
 // Member is what this instance knows of another one.
 type Member struct {
 	Owner           wire.Owner
-	Beat            wire.Heartbeat
+	Heartbeat       wire.Heartbeat
 	LastHeartbeatAt time.Duration
 	Coverage        wire.Coverage
 	dead            bool
@@ -95,10 +95,10 @@
 	}
 	member.LastHeartbeatAt = s.env.Now()
 	member.dead = false
-	if beat.Seq > member.Beat.Seq {
-		member.Beat = beat
+	if beat.Seq > member.Heartbeat.Seq {
+		member.Heartbeat = beat
 	}
-	if member.Coverage.Version < member.Beat.Coverage {
+	if member.Coverage.Version < member.Heartbeat.Coverage {
 		s.env.Send(from.Instance, wire.FetchCoverage{})
 	}
 }
@@ -166,7 +166,7 @@
 			continue
 		}
 		voters++
-		if !slices.Contains(m.Beat.Hears, o) {
+		if !slices.Contains(m.Heartbeat.Hears, o) {
 			unreachable++
 		}
 	}
@@ -232,7 +232,7 @@
 		return s.leaving
 	}
 	m, ok := s.members[id]
-	return ok && m.Beat.Leaving
+	return ok && m.Heartbeat.Leaving
 }
 
 // IsLive reports whether o counts as live. An instance from which no heartbeat was
--- a/internal/service/requests/dispatch.go
+++ b/internal/service/requests/dispatch.go
@@ -68,7 +68,7 @@
 		if !ok {
 			continue
 		}
-		for _, load := range m.Beat.Teams {
+		for _, load := range m.Heartbeat.Teams {
 			if load.Team == team {
 				usage = usage.Add(load.Usage)
 			}
@@ -93,8 +93,8 @@
 			e = &freeEstimate{}
 			s.freeEstimates[o.Instance] = e
 		}
-		if m.Beat.Seq > e.seq {
-			e.seq, e.free = m.Beat.Seq, m.Beat.Free
+		if m.Heartbeat.Seq > e.seq {
+			e.seq, e.free = m.Heartbeat.Seq, m.Heartbeat.Free
 		}
 	}
 }
