--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -123,7 +123,7 @@
 	for _, h := range c.stepEnds {
 		h.OnStepEnd()
 	}
-	return c.env.Take()
+	return c.env.EndStep()
 }
 
 func (c *Core) handle(e event.Event) {
--- a/internal/event/env.go
+++ b/internal/event/env.go
@@ -93,8 +93,8 @@
 // outdated.
 func (e *Env) ResumedAt() time.Duration { return e.resumedAt }
 
-// Take ends the step and returns its actions.
-func (e *Env) Take() []Action {
+// EndStep ends the step and returns its actions.
+func (e *Env) EndStep() []Action {
 	actions := e.actions
 	e.actions = nil
 	return actions
