--- a/internal/declare/apply.go
+++ b/internal/declare/apply.go
@@ -93,7 +93,7 @@
 		// first problem.
 		return Result{Outcome: Invalid, Message: Validate(sortByName(after))[0].String()}
 	}
-	if s.HasOperator() && !slices.ContainsFunc(after.Keys, isOperatorKey) {
+	if s.HasOperatorKey() && !slices.ContainsFunc(after.Keys, isOperatorKey) {
 		return Result{Outcome: Invalid, Message: "expected a key of scope operator to remain"}
 	}
 	return Result{Outcome: Accepted}
--- a/internal/declare/keys.go
+++ b/internal/declare/keys.go
@@ -73,9 +73,9 @@
 	return k, ok
 }
 
-// HasOperator reports whether a key of scope operator is declared. Once one is
+// HasOperatorKey reports whether a key of scope operator is declared. Once one is
 // declared, a change that would leave none is invalid.
-func (s *State) HasOperator() bool {
+func (s *State) HasOperatorKey() bool {
 	for _, k := range s.keys {
 		if isOperatorKey(k) {
 			return true
--- a/internal/declare/policy.go
+++ b/internal/declare/policy.go
@@ -24,9 +24,9 @@
 	return t, true
 }
 
-// Limited reports whether the team has a limit at any hour: its own or that of a
+// HasLimit reports whether the team has a limit at any hour: its own or that of a
 // policy, even of one whose time zone is unknown on this machine.
-func (s *State) Limited(id model.TeamID) bool {
+func (s *State) HasLimit(id model.TeamID) bool {
 	if s.teams[id].Limit > 0 {
 		return true
 	}
--- a/internal/declare/snapshot.go
+++ b/internal/declare/snapshot.go
@@ -108,10 +108,10 @@
 	return s, nil
 }
 
-// Adopt replaces the state with a newer one, such as a peer's. It returns false
+// ReplaceIfNewer replaces the state with a newer one, such as a peer's. It returns false
 // and changes nothing if other has not applied more of the log than s.
 // Withdrawals received from peers are kept until the log is applied up to them.
-func (s *State) Adopt(other *State) bool {
+func (s *State) ReplaceIfNewer(other *State) bool {
 	if other.applied <= s.applied {
 		return false
 	}
--- a/internal/declare/state_test.go
+++ b/internal/declare/state_test.go
@@ -162,10 +162,10 @@
 		return model.Declarations{Keys: []model.Key{{Name: name, Scope: model.ScopeOperator, SHA256: hash}}}
 	}
 	old := model.ObjectRef{Kind: model.ObjectKey, Name: "old"}
-	require.False(t, s.HasOperator())
+	require.False(t, s.HasOperatorKey())
 	require.Equal(t, Accepted, s.Apply(1, change("a", 0, operator("old", hashA))).Outcome)
 	require.Equal(t, Invalid, s.Apply(2, change("b", 1, model.Declarations{}, old)).Outcome)
-	require.True(t, s.HasOperator())
+	require.True(t, s.HasOperatorKey())
 	require.Equal(t, Accepted, s.Apply(3, change("c", 1, operator("new", hashB), old)).Outcome)
 }
 
@@ -174,8 +174,8 @@
 	old.Apply(1, change("a", 0, teamDeclaration("north", 1)))
 	recent.Apply(1, change("a", 0, teamDeclaration("north", 1)))
 	recent.Apply(2, change("b", 1, teamDeclaration("north", 2)))
-	require.False(t, recent.Adopt(old))
-	require.True(t, old.Adopt(recent))
+	require.False(t, recent.ReplaceIfNewer(old))
+	require.True(t, old.ReplaceIfNewer(recent))
 	require.Equal(t, recent.Snapshot(), old.Snapshot())
 }
 
--- a/internal/service/config/config.go
+++ b/internal/service/config/config.go
@@ -279,7 +279,7 @@
 	if ok {
 		return "", verdict.Refuse(verdict.CodeForbidden, "key %q is not an operator's key", key.Name)
 	}
-	if !s.state.HasOperator() && s.Fresh() {
+	if !s.state.HasOperatorKey() && s.Fresh() {
 		return "bootstrap", nil
 	}
 	return "", verdict.Refuse(verdict.CodeUnauthorized, "the key is not known or was withdrawn")
--- a/internal/service/config/hours.go
+++ b/internal/service/config/hours.go
@@ -29,7 +29,7 @@
 
 // Limited reports whether a team has an upper limit at any hour. It does not
 // depend on the clock.
-func (s *Service) Limited(id model.TeamID) bool { return s.state.Limited(id) }
+func (s *Service) Limited(id model.TeamID) bool { return s.state.HasLimit(id) }
 
 // LimitedTeams returns the teams with an upper limit at any hour, sorted.
 func (s *Service) LimitedTeams() []model.TeamID {
--- a/internal/service/config/snapshot.go
+++ b/internal/service/config/snapshot.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	s.state.Adopt(other)
+	s.state.ReplaceIfNewer(other)
 	for _, id := range slices.Sorted(maps.Keys(s.pending)) {
 		if r, ok := s.state.Settled(id); ok {
 			s.answerChange(id, s.pending[id], answerOf(id, r))
