--- a/internal/cell/node/requests.go
+++ b/internal/cell/node/requests.go
@@ -84,7 +84,7 @@
 	if inDoubt {
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Code: verdict.CodeInDoubt, Message: message}
 	}
-	return verdict.Refuse(code, "%s", message).After(noLeaderRetryDelay)
+	return verdict.Refuse(code, "%s", message).WithRetryAfter(noLeaderRetryDelay)
 }
 
 // attempt sends the request to the leader once, unless no leader is known or it has not
--- a/internal/httpapi/answer.go
+++ b/internal/httpapi/answer.go
@@ -31,7 +31,7 @@
 	verdict.CodeNotFound:       http.StatusNotFound,
 	verdict.CodeConflict:       http.StatusConflict,
 	verdict.CodeCanceled:       http.StatusConflict,
-	verdict.CodeAnswerTooOld:   http.StatusGone,
+	verdict.CodeAnswerExpired:  http.StatusGone,
 	verdict.CodeTooLarge:       http.StatusRequestEntityTooLarge,
 	verdict.CodeNeverFits:      http.StatusUnprocessableEntity,
 	verdict.CodeOverloaded:     http.StatusTooManyRequests,
@@ -54,7 +54,7 @@
 		}
 		return http.StatusInternalServerError
 	}
-	if a.Code == verdict.CodeAnswerTooOld {
+	if a.Code == verdict.CodeAnswerExpired {
 		return http.StatusGone
 	}
 	return http.StatusGatewayTimeout
@@ -65,7 +65,7 @@
 	switch code {
 	case verdict.CodeTaskFailed:
 		return http.StatusInternalServerError
-	case verdict.CodeAnswerTooOld:
+	case verdict.CodeAnswerExpired:
 		return http.StatusGone
 	}
 	return http.StatusOK
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -256,7 +256,7 @@
 	case n.inbox <- event.RequestIn{Handle: handle, Request: r}:
 	default:
 		n.removeCaller(handle)
-		return model.Refusal(r.ID, verdict.Refuse(verdict.CodeOverloaded, "this instance is overloaded").After(time.Second))
+		return model.Refusal(r.ID, verdict.Refuse(verdict.CodeOverloaded, "this instance is overloaded").WithRetryAfter(time.Second))
 	}
 	select {
 	case a := <-ch:
--- a/internal/scheduler/queue/queue.go
+++ b/internal/scheduler/queue/queue.go
@@ -125,7 +125,7 @@
 		return verdict.Refuse(verdict.CodeConflict, "task %s waits already", t.ID)
 	}
 	if tm.waiting >= q.maxWaiting {
-		return verdict.Refuse(verdict.CodeOverloaded, "team %s has %d tasks waiting", t.Team, tm.waiting).After(overloadRetryDelay)
+		return verdict.Refuse(verdict.CodeOverloaded, "team %s has %d tasks waiting", t.Team, tm.waiting).WithRetryAfter(overloadRetryDelay)
 	}
 	q.seq++
 	q.add(tm, &item{t, q.seq}, (*lane).push)
--- a/internal/service/config/config.go
+++ b/internal/service/config/config.go
@@ -198,7 +198,7 @@
 	if !waiting || d.Verdict != verdict.NotRun {
 		return
 	}
-	s.answerChange(id, p, model.Refusal(id, verdict.Refuse(verdict.CodeUnavailable, "the log does not take changes now").After(retryAfter)))
+	s.answerChange(id, p, model.Refusal(id, verdict.Refuse(verdict.CodeUnavailable, "the log does not take changes now").WithRetryAfter(retryAfter)))
 }
 
 // OnTick answers changes that were not read back before their deadline.
--- a/internal/service/gateway/gateway.go
+++ b/internal/service/gateway/gateway.go
@@ -135,10 +135,10 @@
 
 func (s *Service) accept(handle uint64, r model.Request) *verdict.Error {
 	if len(s.pending) >= maxPending {
-		return verdict.Refuse(verdict.CodeOverloaded, "this instance has %d requests open", maxPending).After(time.Second)
+		return verdict.Refuse(verdict.CodeOverloaded, "this instance has %d requests open", maxPending).WithRetryAfter(time.Second)
 	}
 	if !s.config.Fresh() {
-		return verdict.Refuse(verdict.CodeUnavailable, "this instance is cut off from the log and its peers").After(retryAfter)
+		return verdict.Refuse(verdict.CodeUnavailable, "this instance is cut off from the log and its peers").WithRetryAfter(retryAfter)
 	}
 	switch r.Op {
 	case model.OpCall, model.OpSubmit, model.OpStatus, model.OpCancel:
@@ -163,7 +163,7 @@
 		}
 		id, ok := s.newTicket()
 		if !ok {
-			return verdict.Refuse(verdict.CodeUnavailable, "no shard is owned yet").After(retryAfter)
+			return verdict.Refuse(verdict.CodeUnavailable, "no shard is owned yet").WithRetryAfter(retryAfter)
 		}
 		r.ID = id
 	}
@@ -221,7 +221,7 @@
 	for range r.Count {
 		id, ok := s.newTicket()
 		if !ok {
-			return verdict.Refuse(verdict.CodeUnavailable, "no shard is owned yet").After(retryAfter)
+			return verdict.Refuse(verdict.CodeUnavailable, "no shard is owned yet").WithRetryAfter(retryAfter)
 		}
 		a.Tickets = append(a.Tickets, id)
 	}
@@ -237,7 +237,7 @@
 		if !p.sent {
 			s.finish(handle, model.Refusal(p.forward.Request.ID, verdict.Refuse(verdict.CodeUnavailable,
 				"shard %d of the request has no reachable owner: %q in life %d, term %d", p.shard,
-				shardOwner.Owner.Instance, shardOwner.Owner.Incarnation, shardOwner.Term).After(retryAfter)))
+				shardOwner.Owner.Instance, shardOwner.Owner.Incarnation, shardOwner.Term).WithRetryAfter(retryAfter)))
 			return
 		}
 		s.scheduleRetry(handle, p, s.env.Now()+rerouteDelay)
@@ -313,7 +313,7 @@
 }
 
 func (s *Service) expired(p *pending) model.Answer {
-	e := verdict.Refuse(verdict.CodeDeadline, "no answer from the owner of the request's shard in time").After(retryAfter)
+	e := verdict.Refuse(verdict.CodeDeadline, "no answer from the owner of the request's shard in time").WithRetryAfter(retryAfter)
 	if p.sent {
 		e.Verdict = verdict.MayHaveRun
 		e.Code = verdict.CodeInDoubt
--- a/internal/service/jobs/jobs.go
+++ b/internal/service/jobs/jobs.go
@@ -263,7 +263,7 @@
 func (s *Service) expireSubmissions(now time.Duration) {
 	for _, k := range sortedKeys(s.submissions) {
 		if now >= s.submissions[k].deadline {
-			e := verdict.Refuse(verdict.CodeInDoubt, "the job may be in the log; submit it again with the same id").After(retryAfter)
+			e := verdict.Refuse(verdict.CodeInDoubt, "the job may be in the log; submit it again with the same id").WithRetryAfter(retryAfter)
 			e.Verdict = verdict.MayHaveRun
 			s.refuse(k, e)
 		}
--- a/internal/service/jobs/progress.go
+++ b/internal/service/jobs/progress.go
@@ -85,7 +85,7 @@
 		return
 	}
 	for _, k := range keys {
-		s.refuse(k, verdict.Refuse(verdict.CodeUnavailable, "the log takes no jobs now").After(retryAfter))
+		s.refuse(k, verdict.Refuse(verdict.CodeUnavailable, "the log takes no jobs now").WithRetryAfter(retryAfter))
 	}
 }
 
--- a/internal/service/requests/expiry.go
+++ b/internal/service/requests/expiry.go
@@ -91,7 +91,7 @@
 // instance may have taken over the shard together with the request and may have run
 // it without this instance's knowledge.
 func (s *Service) notStarted(e *entry, code verdict.Code, message string) model.Answer {
-	a := model.Refusal(e.id, verdict.Refuse(code, "%s", message).After(retryAfter))
+	a := model.Refusal(e.id, verdict.Refuse(code, "%s", message).WithRetryAfter(retryAfter))
 	if _, mine := s.ownership.OwnedTerm(e.shard); e.run > 1 || !s.connected() || !mine || s.handover.Frozen(e.shard) {
 		a.Verdict = verdict.MayHaveRun
 	}
--- a/internal/service/requests/requests.go
+++ b/internal/service/requests/requests.go
@@ -174,7 +174,7 @@
 	shard := model.ShardOfRequest(f.Team, r.ID)
 	_, mine := s.ownership.OwnedTerm(shard)
 	if !mine || s.handover.Frozen(shard) {
-		s.refuse(from, f, verdict.Refuse(verdict.CodeStaleAuthority, "the shard has another owner").After(retryAfter))
+		s.refuse(from, f, verdict.Refuse(verdict.CodeStaleAuthority, "the shard has another owner").WithRetryAfter(retryAfter))
 		return
 	}
 	switch r.Op {
@@ -249,10 +249,10 @@
 
 func (s *Service) newEntry(base model.TaskID, shard model.Shard, f wire.Forward) (*entry, *verdict.Error) {
 	if len(s.entries) >= maxEntries {
-		return nil, verdict.Refuse(verdict.CodeOverloaded, "too many requests are remembered here").After(retryAfter)
+		return nil, verdict.Refuse(verdict.CodeOverloaded, "too many requests are remembered here").WithRetryAfter(retryAfter)
 	}
 	if s.queue.Waiting(f.Team) >= maxWaitingPerTeam {
-		return nil, verdict.Refuse(verdict.CodeOverloaded, "the team has %d requests waiting here", maxWaitingPerTeam).After(retryAfter)
+		return nil, verdict.Refuse(verdict.CodeOverloaded, "the team has %d requests waiting here", maxWaitingPerTeam).WithRetryAfter(retryAfter)
 	}
 	t, refusal := s.buildTask(base, f)
 	if refusal != nil {
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -108,7 +108,7 @@
 		return 0, err
 	}
 	if !c.limiter.AllowN(now, 1) {
-		return 0, verdict.Refuse(verdict.CodeOverloaded, "log: append rate exceeded").After(appendRetryDelay)
+		return 0, verdict.Refuse(verdict.CodeOverloaded, "log: append rate exceeded").WithRetryAfter(appendRetryDelay)
 	}
 	s := c.stream(name)
 	offset := s.next()
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -71,7 +71,7 @@
 	CodeDraining       Code = "draining"
 	CodeInDoubt        Code = "in_doubt"
 	CodeTaskFailed     Code = "task_failed"
-	CodeAnswerTooOld   Code = "answer_expired"
+	CodeAnswerExpired  Code = "answer_expired"
 	CodeStaleAuthority Code = "stale_authority"
 )
 
@@ -92,8 +92,8 @@
 	return &Error{Verdict: NotRun, Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// After sets RetryAfter and returns e.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter sets RetryAfter and returns e.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
