--- a/internal/capacity/cell_test.go
+++ b/internal/capacity/cell_test.go
@@ -194,7 +194,7 @@
 	}
 	for j := range c.size.instances {
 		if j != i {
-			h.Hears = append(h.Hears, ownerOf(j))
+			h.Reachable = append(h.Reachable, ownerOf(j))
 		}
 	}
 	for t := range c.size.teams {
--- a/internal/service/ledger/dispatch.go
+++ b/internal/service/ledger/dispatch.go
@@ -184,7 +184,7 @@
 		}
 		out.Covered = append(out.Covered, id)
 		if w.startedAt > oldest {
-			out.Young = append(out.Young, id)
+			out.Restarted = append(out.Restarted, id)
 		}
 	}
 	return out
--- a/internal/service/limits/escrow.go
+++ b/internal/service/limits/escrow.go
@@ -211,12 +211,12 @@
 		Team: team, Term: e.term, Seq: g.seq, Ceiling: ceiling, Limit: s.limit(team), To: to.Incarnation,
 	}
 	if to == s.env.Owner() {
-		msg.Beat = currentBeat
+		msg.HeartbeatSeq = currentBeat
 		s.applyGrant(msg)
 		return
 	}
 	if m, ok := s.members.Member(to.Instance); ok {
-		msg.Beat = m.Heartbeat.Seq
+		msg.HeartbeatSeq = m.Heartbeat.Seq
 	}
 	s.env.Send(to.Instance, msg)
 }
--- a/internal/service/limits/limits.go
+++ b/internal/service/limits/limits.go
@@ -174,7 +174,7 @@
 	if g.Term < owner.Term || g.Term < c.term || g.Term == c.term && g.Seq <= c.seq {
 		return
 	}
-	limit := max(g.Ceiling-s.unreportedReductions(g.Team, g.Beat), 0)
+	limit := max(g.Ceiling-s.unreportedReductions(g.Team, g.HeartbeatSeq), 0)
 	s.ceilings[g.Team] = ceiling{term: g.Term, seq: g.Seq, max: limit, limit: g.Limit}
 }
 
--- a/internal/service/membership/membership.go
+++ b/internal/service/membership/membership.go
@@ -126,7 +126,7 @@
 
 func (s *Service) sendHeartbeats() {
 	s.beatSeq++
-	beat := wire.Heartbeat{Seq: s.beatSeq, Leaving: s.leaving, Hears: s.reachable()}
+	beat := wire.Heartbeat{Seq: s.beatSeq, Leaving: s.leaving, Reachable: s.reachable()}
 	for _, c := range s.contributors {
 		c.FillHeartbeat(&beat)
 	}
@@ -166,7 +166,7 @@
 			continue
 		}
 		voters++
-		if !slices.Contains(m.Heartbeat.Hears, o) {
+		if !slices.Contains(m.Heartbeat.Reachable, o) {
 			unreachable++
 		}
 	}
--- a/internal/service/requests/locate.go
+++ b/internal/service/requests/locate.go
@@ -95,7 +95,7 @@
 	for _, id := range m.Covered {
 		l.covered[id] = true
 	}
-	for _, id := range m.Young {
+	for _, id := range m.Restarted {
 		l.restarted[id] = true
 	}
 	if s.coversAll(l) {
--- a/internal/service/requests/memory.go
+++ b/internal/service/requests/memory.go
@@ -48,8 +48,8 @@
 	now := s.env.Now()
 	m := wire.RequestMemory{
 		ID: e.id, Task: e.task, Fingerprint: e.fingerprint, Phase: uint8(e.phase),
-		Holder: e.holder, Attempt: e.attempt, Run: e.run, Canceled: e.canceled,
-		BornAge: now - e.firstReceivedAt, WaitAge: now - e.receivedAt, Remaining: e.deadline - now,
+		LeaseHolder: e.holder, Attempt: e.attempt, Run: e.run, Canceled: e.canceled,
+		CreatedAge: now - e.firstReceivedAt, QueuedAge: now - e.receivedAt, Remaining: e.deadline - now,
 		Worker: e.worker, Answer: e.answer,
 	}
 	m.Task.ID = e.base
@@ -127,8 +127,8 @@
 	}
 	e := &entry{
 		id: r.ID, task: r.Task, base: r.Task.ID, shard: shard, fingerprint: r.Fingerprint,
-		phase: phaseLocating, holder: r.Holder, attempt: r.Attempt, run: r.Run, canceled: r.Canceled,
-		firstReceivedAt: importedAt - r.BornAge, receivedAt: importedAt - r.WaitAge, deadline: importedAt + r.Remaining, worker: r.Worker,
+		phase: phaseLocating, holder: r.LeaseHolder, attempt: r.Attempt, run: r.Run, canceled: r.Canceled,
+		firstReceivedAt: importedAt - r.CreatedAge, receivedAt: importedAt - r.QueuedAge, deadline: importedAt + r.Remaining, worker: r.Worker,
 	}
 	s.entries[e.base] = e
 	if e.task.Kind == model.KindGang && phase(r.Phase) != phaseFinished {
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -27,14 +27,14 @@
 // Heartbeat reports that the sender is live, which instances it can reach and the
 // load on its workers.
 type Heartbeat struct {
-	Seq      uint64          `cbor:"1,keyasint" json:"seq"`
-	Applied  uint64          `cbor:"2,keyasint" json:"applied"`                   // offset of the last log entry applied
-	Hears    []Owner         `cbor:"3,keyasint,omitempty" json:"hears,omitempty"` // instances that the sender can reach
-	Leaving  bool            `cbor:"4,keyasint,omitempty" json:"leaving,omitempty"`
-	Free     model.Resources `cbor:"5,keyasint" json:"free"` // on workers whose lease the sender holds
-	Teams    []TeamLoad      `cbor:"6,keyasint,omitempty" json:"teams,omitempty"`
-	Coverage uint64          `cbor:"7,keyasint" json:"coverage"` // version of the sender's Coverage
-	LogAge   time.Duration   `cbor:"8,keyasint" json:"log_age"`  // since the sender last reached the log
+	Seq       uint64          `cbor:"1,keyasint" json:"seq"`
+	Applied   uint64          `cbor:"2,keyasint" json:"applied"`                   // offset of the last log entry applied
+	Reachable []Owner         `cbor:"3,keyasint,omitempty" json:"hears,omitempty"` // instances that the sender can reach
+	Leaving   bool            `cbor:"4,keyasint,omitempty" json:"leaving,omitempty"`
+	Free      model.Resources `cbor:"5,keyasint" json:"free"` // on workers whose lease the sender holds
+	Teams     []TeamLoad      `cbor:"6,keyasint,omitempty" json:"teams,omitempty"`
+	Coverage  uint64          `cbor:"7,keyasint" json:"coverage"` // version of the sender's Coverage
+	LogAge    time.Duration   `cbor:"8,keyasint" json:"log_age"`  // since the sender last reached the log
 }
 
 // Coverage lists the workers whose lease the sender holds and whose state it knows
@@ -58,9 +58,9 @@
 	// To is the incarnation of the receiver for which the grant is meant; a later one
 	// has its own account.
 	To model.Incarnation `cbor:"7,keyasint" json:"to"`
-	// Beat is the sequence number of the heartbeat of the receiver on which the grant is
+	// HeartbeatSeq is the sequence number of the heartbeat of the receiver on which the grant is
 	// based.
-	Beat uint64 `cbor:"5,keyasint,omitempty" json:"beat,omitempty"`
+	HeartbeatSeq uint64 `cbor:"5,keyasint,omitempty" json:"beat,omitempty"`
 }
 
 // Forward passes a caller's request to the owner of its shard. The sender has
@@ -130,10 +130,10 @@
 // it is certain that no others were. Young lists the covered workers that restarted
 // within the age in question: they may have run a task and lost their record of it.
 type Located struct {
-	ID      uint64           `cbor:"1,keyasint" json:"id"`
-	Seen    []TaskState      `cbor:"2,keyasint,omitempty" json:"seen,omitempty"`
-	Covered []model.WorkerID `cbor:"3,keyasint,omitempty" json:"covered,omitempty"`
-	Young   []model.WorkerID `cbor:"4,keyasint,omitempty" json:"young,omitempty"`
+	ID        uint64           `cbor:"1,keyasint" json:"id"`
+	Seen      []TaskState      `cbor:"2,keyasint,omitempty" json:"seen,omitempty"`
+	Covered   []model.WorkerID `cbor:"3,keyasint,omitempty" json:"covered,omitempty"`
+	Restarted []model.WorkerID `cbor:"4,keyasint,omitempty" json:"young,omitempty"`
 }
 
 // CancelTask asks a lease holder to stop a task.
@@ -199,11 +199,11 @@
 	Task        model.Task     `cbor:"2,keyasint" json:"task"`
 	Fingerprint uint64         `cbor:"3,keyasint,omitempty" json:"fingerprint,omitempty"`
 	Phase       uint8          `cbor:"4,keyasint" json:"phase"`
-	Holder      Owner          `cbor:"5,keyasint" json:"holder"`
+	LeaseHolder Owner          `cbor:"5,keyasint" json:"holder"`
 	Attempt     uint32         `cbor:"6,keyasint,omitempty" json:"attempt,omitempty"`
 	Run         int            `cbor:"7,keyasint" json:"run"`
-	BornAge     time.Duration  `cbor:"8,keyasint" json:"born_age"`
-	WaitAge     time.Duration  `cbor:"9,keyasint" json:"wait_age"`
+	CreatedAge  time.Duration  `cbor:"8,keyasint" json:"born_age"`
+	QueuedAge   time.Duration  `cbor:"9,keyasint" json:"wait_age"`
 	EndAge      time.Duration  `cbor:"10,keyasint,omitempty" json:"end_age,omitempty"`
 	Remaining   time.Duration  `cbor:"11,keyasint,omitempty" json:"remaining,omitempty"` // until the deadline
 	Canceled    bool           `cbor:"12,keyasint,omitempty" json:"canceled,omitempty"`
