--- a/internal/platform/httpclient/client_test.go
+++ b/internal/platform/httpclient/client_test.go
@@ -199,7 +199,7 @@
 	renew := platform.RenewRequest{Lease: ref, Duration: time.Minute}
 	_, err := c.Renew(t.Context(), w, renew)
 	require.NoError(t, err)
-	require.True(t, p.Inject(standin.Fault{Silence: "/workers/w"}))
+	require.True(t, p.Inject(standin.Fault{BlackholeService: "/workers/w"}))
 	require.Equal(t, verdict.MayHaveRun, verdict.Of(c.Start(canceledOnceWritten(t), w, startRequest("t", 1))))
 	require.NoError(t, c.Start(t.Context(), w, startRequest("t", 1)), "a new connection works")
 }
@@ -215,7 +215,7 @@
 	require.Equal(t, verdict.MayHaveRun, verdict.Of(c.Start(t.Context(), w, startRequest("lost", 6))))
 	injectWorkerFaults(p, standin.WorkerFaults{Unreachable: true})
 	require.Equal(t, verdict.MayHaveRun, verdict.Of(c.Start(t.Context(), w, startRequest("unreachable", 7))))
-	for _, f := range []standin.WorkerFaults{{Paused: true}, {Silent: true}} {
+	for _, f := range []standin.WorkerFaults{{Paused: true}, {Unresponsive: true}} {
 		injectWorkerFaults(p, f)
 		require.Equal(t, verdict.MayHaveRun, verdict.Of(c.Start(canceledOnceWritten(t), w, startRequest("held", 8))))
 	}
--- a/internal/scenario/commands_test.go
+++ b/internal/scenario/commands_test.go
@@ -306,11 +306,11 @@
 	case "unreachable":
 		s.cell.WorkerFaults(id, standin.WorkerFaults{Unreachable: true})
 	case "silent":
-		s.cell.WorkerFaults(id, standin.WorkerFaults{Silent: true})
+		s.cell.WorkerFaults(id, standin.WorkerFaults{Unresponsive: true})
 	case "fail-everything":
-		s.cell.WorkerFaults(id, standin.WorkerFaults{FailEverything: true})
+		s.cell.WorkerFaults(id, standin.WorkerFaults{FailAllTasks: true})
 	case "cut-answers":
-		s.cell.WorkerFaults(id, standin.WorkerFaults{CutAnswer: true})
+		s.cell.WorkerFaults(id, standin.WorkerFaults{TruncateAnswers: true})
 	case "lose-start-answers":
 		s.cell.WorkerFaults(id, standin.WorkerFaults{LoseStartAnswer: true})
 	case "lose-renewals":
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -76,10 +76,10 @@
 	Worker *WorkerFault `json:"worker,omitempty"`
 	Log    *LogFaults   `json:"log,omitempty"`
 	List   *ListFault   `json:"list,omitempty"`
-	// Silence names a service: "/log", "/list" or "/workers/" followed by an
+	// BlackholeService names a service: "/log", "/list" or "/workers/" followed by an
 	// id. All its open connections permanently drop all data, while new
 	// connections work.
-	Silence string `json:"silence,omitempty"`
+	BlackholeService string `json:"silence,omitempty"`
 }
 
 // WorkerFault replaces the faults of a worker. Restart restarts the worker first.
@@ -102,8 +102,8 @@
 	if f.List != nil {
 		p.List.Do(func(_ time.Time, c *ListCore) { c.SetLag(f.List.Lag) })
 	}
-	if f.Silence != "" {
-		p.conns.blackhole(f.Silence)
+	if f.BlackholeService != "" {
+		p.conns.blackhole(f.BlackholeService)
 	}
 	if f.Worker == nil {
 		return true
--- a/internal/standin/worker_faults.go
+++ b/internal/standin/worker_faults.go
@@ -6,10 +6,10 @@
 // FailEverything, CutAnswer and ReportDelay, and does not advance while Paused.
 // Workers applies the others, and queues commands while Paused.
 type WorkerFaults struct {
-	// FailEverything makes every task that starts fail after failedRunTime.
-	FailEverything bool `json:"fail_everything,omitempty"`
-	// CutAnswer truncates answers to half; their outcomes are not Complete.
-	CutAnswer bool `json:"cut_answer,omitempty"`
+	// FailAllTasks makes every task that starts fail after failedRunTime.
+	FailAllTasks bool `json:"fail_everything,omitempty"`
+	// TruncateAnswers truncates answers to half; their outcomes are not Complete.
+	TruncateAnswers bool `json:"cut_answer,omitempty"`
 	// Paused suspends the worker: no task ends and no command is answered. The
 	// commands run when the worker resumes.
 	Paused bool `json:"paused,omitempty"`
@@ -17,8 +17,8 @@
 	LoseStartAnswer bool `json:"lose_start_answer,omitempty"`
 	// ReportDelay delays the report of every outcome.
 	ReportDelay time.Duration `json:"report_delay,omitempty"`
-	// Silent accepts commands without effect and never answers them.
-	Silent bool `json:"silent,omitempty"`
+	// Unresponsive accepts commands without effect and never answers them.
+	Unresponsive bool `json:"silent,omitempty"`
 	// Unreachable makes every command fail with ErrUnreachable, without effect.
 	Unreachable bool `json:"unreachable,omitempty"`
 }
--- a/internal/standin/worker_property_test.go
+++ b/internal/standin/worker_property_test.go
@@ -171,9 +171,9 @@
 
 func (s *referenceWorker) setFaults(t *rapid.T) {
 	s.core.SetFaults(s.now, WorkerFaults{
-		Paused:         rapid.IntRange(0, 2).Draw(t, "paused") == 0,
-		FailEverything: rapid.Bool().Draw(t, "failing"),
-		ReportDelay:    time.Duration(rapid.IntRange(0, 3).Draw(t, "delay")) * time.Second,
+		Paused:       rapid.IntRange(0, 2).Draw(t, "paused") == 0,
+		FailAllTasks: rapid.Bool().Draw(t, "failing"),
+		ReportDelay:  time.Duration(rapid.IntRange(0, 3).Draw(t, "delay")) * time.Second,
 	})
 }
 
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -84,7 +84,7 @@
 
 func (c *WorkerCore) setDue(t *run) {
 	d, fail := c.settings.Runtime(t.task)
-	if c.faults.FailEverything {
+	if c.faults.FailAllTasks {
 		d, fail = failedRunTime, true
 	}
 	t.fail = fail
@@ -247,7 +247,7 @@
 		Ran:      t.due.Sub(t.started),
 		Usage:    t.task.Demand,
 	}
-	if c.faults.CutAnswer {
+	if c.faults.TruncateAnswers {
 		o.Answer = o.Answer[:len(o.Answer)/2]
 		o.Complete = false
 	}
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -236,7 +236,7 @@
 func TestTaskFaults(t *testing.T) {
 	c := newWorker(t)
 	mustRenew(t, c, 0, renewRequest(refA))
-	c.SetFaults(epoch, WorkerFaults{FailEverything: true, ReportDelay: time.Second})
+	c.SetFaults(epoch, WorkerFaults{FailAllTasks: true, ReportDelay: time.Second})
 	require.NoError(t, c.Start(epoch, startRequest(refA, 1, "failing", time.Minute)))
 	c.Advance(at(failedRunTime))
 	require.Zero(t, c.Used())
@@ -249,7 +249,7 @@
 	require.Empty(t, reply.Running)
 	require.True(t, reply.Finished[0].Failed)
 
-	c.SetFaults(at(2*time.Second), WorkerFaults{CutAnswer: true})
+	c.SetFaults(at(2*time.Second), WorkerFaults{TruncateAnswers: true})
 	require.NoError(t, c.Start(at(2*time.Second), startRequest(refA, 2, "cut", time.Second)))
 	r = renewRequest(refA)
 	r.Since = reply.Seq
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -142,7 +142,7 @@
 	switch {
 	case f.Unreachable:
 		return nil, ErrUnreachable
-	case f.Silent:
+	case f.Unresponsive:
 		return done, nil
 	case f.Paused:
 		wr.pausedCommands = append(wr.pausedCommands, func(now time.Time, c *WorkerCore) {
--- a/internal/testcell/worker.go
+++ b/internal/testcell/worker.go
@@ -113,7 +113,7 @@
 		switch {
 		case !ready:
 			pending = append(pending, p)
-		case f.Silent || w.loseRenewals:
+		case f.Unresponsive || w.loseRenewals:
 		case f.Unreachable || w.unreachableFrom[p.instance.info.ID]:
 			p.answer(platform.RenewReply{}, true)
 		default:
@@ -161,7 +161,7 @@
 		switch {
 		case f.Unreachable || w.unreachableFrom[in.info.ID]:
 			answer(onLost)
-		case f.Silent:
+		case f.Unresponsive:
 		case f.Paused:
 			w.heldCommands = append(w.heldCommands, func() { execute(w, answer) })
 		default:
