--- a/internal/scenario/commands_test.go
+++ b/internal/scenario/commands_test.go
@@ -45,20 +45,20 @@
 	"log":           logFault,
 
 	"pause":   onInstance((*testcell.Cell).Pause),
-	"wake":    onInstance((*testcell.Cell).Wake),
+	"wake":    onInstance((*testcell.Cell).Resume),
 	"crash":   onInstance((*testcell.Cell).Kill),
 	"restart": onInstance((*testcell.Cell).Restart),
 	"drain":   onInstance((*testcell.Cell).Drain),
-	"cut-log": onInstance((*testcell.Cell).CutLog),
-	"cut":     onPair((*testcell.Cell).Cut),
-	"silence": onPair((*testcell.Cell).Silence),
+	"cut-log": onInstance((*testcell.Cell).PartitionFromLog),
+	"cut":     onPair((*testcell.Cell).Partition),
+	"silence": onPair((*testcell.Cell).BlackholeConnection),
 	"isolate": isolate,
 	"heal": func(s *state, _ *arguments) error {
-		s.cell.Heal()
+		s.cell.EndPartitions()
 		return nil
 	},
 	"cut-worker": func(s *state, a *arguments) error {
-		s.cell.CutWorker(a.instance(0), a.worker(1))
+		s.cell.PartitionFromWorker(a.instance(0), a.worker(1))
 		return a.err
 	},
 	"list-lag": func(s *state, a *arguments) error {
@@ -91,7 +91,7 @@
 func isolate(s *state, a *arguments) error {
 	for _, other := range s.cell.Instances() {
 		if other != a.instance(0) {
-			s.cell.Cut(a.instance(0), other)
+			s.cell.Partition(a.instance(0), other)
 		}
 	}
 	return a.err
@@ -147,12 +147,12 @@
 		}
 		r.ID = ticket
 	}
-	s.calls[a.text("name", a.text("id", ""))] = s.cell.Do(via, model.TeamID(a.text("team", "")), r)
+	s.calls[a.text("name", a.text("id", ""))] = s.cell.SendRequest(via, model.TeamID(a.text("team", "")), r)
 	return a.err
 }
 
 func takeTicket(s *state, a *arguments, via model.InstanceID, key string) (string, error) {
-	got := s.cell.Do(via, model.TeamID(a.text("team", "")), model.Request{Op: model.OpTicket, Key: key, Count: 1})
+	got := s.cell.SendRequest(via, model.TeamID(a.text("team", "")), model.Request{Op: model.OpTicket, Key: key, Count: 1})
 	s.cell.Advance(100 * time.Millisecond)
 	if len(got.Answers) == 0 || len(got.Answers[0].Answer.Tickets) != 1 {
 		return "", nil // a call without an id gets one from the cell
@@ -173,7 +173,7 @@
 		if a.flag("mint") {
 			r.ID = ""
 		}
-		s.calls[name] = s.cell.Do(via, model.TeamID(a.text("team", "")), r)
+		s.calls[name] = s.cell.SendRequest(via, model.TeamID(a.text("team", "")), r)
 	}
 	return a.err
 }
@@ -186,14 +186,14 @@
 	}
 	r := first.Request
 	r.ID, r.Timeout = first.ID(), a.duration(a.text("timeout", "10s"))
-	s.calls[a.text("name", "again-"+a.word(0))] = s.cell.Do(model.InstanceID(a.text("via", "entry-1")), first.Team, r)
+	s.calls[a.text("name", "again-"+a.word(0))] = s.cell.SendRequest(model.InstanceID(a.text("via", "entry-1")), first.Team, r)
 	return a.err
 }
 
 // revive resumes all paused instances and restarts all that were killed.
 func revive(s *state, _ *arguments) error {
 	for _, id := range s.cell.Instances() {
-		s.cell.Wake(id)
+		s.cell.Resume(id)
 		if !s.cell.Alive(id) {
 			s.cell.Restart(id)
 		}
@@ -208,7 +208,7 @@
 		return a.err
 	}
 	r := model.Request{Op: op, Key: first.Request.Key, ID: first.ID(), Timeout: a.duration(a.text("timeout", "5s"))}
-	s.calls[a.text("name", string(op)+"-"+a.word(0))] = s.cell.Do(model.InstanceID(a.text("via", "entry-1")), first.Team, r)
+	s.calls[a.text("name", string(op)+"-"+a.word(0))] = s.cell.SendRequest(model.InstanceID(a.text("via", "entry-1")), first.Team, r)
 	return a.err
 }
 
@@ -217,7 +217,7 @@
 
 // apply changes a team's limit, or adds or withdraws a key.
 func apply(s *state, a *arguments) error {
-	c := &model.Change{ID: a.text("change", ""), Base: uint64(a.number(a.text("base", fmt.Sprint(s.cell.Version()))))}
+	c := &model.Change{ID: a.text("change", ""), Base: uint64(a.number(a.text("base", fmt.Sprint(s.cell.MaxConfigVersion()))))}
 	if team := model.TeamID(a.text("team", "")); team != "" && a.named["limit"] != "" {
 		c.Put.Teams = []model.Team{{Name: team, Share: a.number(a.text("share", "1")), Limit: a.number(a.text("limit", "0"))}}
 	}
@@ -228,7 +228,7 @@
 		c.Delete = []model.ObjectRef{{Kind: model.ObjectKey, Name: key}}
 	}
 	r := model.Request{Op: model.OpApply, Key: testcell.OperatorSecret, Change: c}
-	s.calls[a.text("name", c.ID)] = s.cell.Do(model.InstanceID(a.text("via", "entry-1")), "", r)
+	s.calls[a.text("name", c.ID)] = s.cell.SendRequest(model.InstanceID(a.text("via", "entry-1")), "", r)
 	return a.err
 }
 
@@ -296,31 +296,31 @@
 func injectWorkerFault(s *state, a *arguments, id model.WorkerID) error {
 	switch a.word(0) {
 	case "ok":
-		s.cell.WorkerFaults(id, standin.WorkerFaults{})
-		s.cell.DelayWorker(id, 0)
-		s.cell.LoseRenewals(id, false)
+		s.cell.SetWorkerFaults(id, standin.WorkerFaults{})
+		s.cell.SetCommandDelay(id, 0)
+		s.cell.SetRenewalLoss(id, false)
 	case "restart":
 		s.cell.RestartWorker(id)
 	case "pause":
-		s.cell.WorkerFaults(id, standin.WorkerFaults{Paused: true})
+		s.cell.SetWorkerFaults(id, standin.WorkerFaults{Paused: true})
 	case "unreachable":
-		s.cell.WorkerFaults(id, standin.WorkerFaults{Unreachable: true})
+		s.cell.SetWorkerFaults(id, standin.WorkerFaults{Unreachable: true})
 	case "silent":
-		s.cell.WorkerFaults(id, standin.WorkerFaults{Unresponsive: true})
+		s.cell.SetWorkerFaults(id, standin.WorkerFaults{Unresponsive: true})
 	case "fail-everything":
-		s.cell.WorkerFaults(id, standin.WorkerFaults{FailAllTasks: true})
+		s.cell.SetWorkerFaults(id, standin.WorkerFaults{FailAllTasks: true})
 	case "cut-answers":
-		s.cell.WorkerFaults(id, standin.WorkerFaults{TruncateAnswers: true})
+		s.cell.SetWorkerFaults(id, standin.WorkerFaults{TruncateAnswers: true})
 	case "lose-start-answers":
-		s.cell.WorkerFaults(id, standin.WorkerFaults{LoseStartAnswer: true})
+		s.cell.SetWorkerFaults(id, standin.WorkerFaults{LoseStartAnswer: true})
 	case "lose-renewals":
-		s.cell.LoseRenewals(id, true)
+		s.cell.SetRenewalLoss(id, true)
 	case "late":
-		s.cell.DelayWorker(id, a.duration(a.text("by", "1s")))
+		s.cell.SetCommandDelay(id, a.duration(a.text("by", "1s")))
 	case "late-reports":
-		s.cell.WorkerFaults(id, standin.WorkerFaults{ReportDelay: a.duration(a.text("by", "1s"))})
+		s.cell.SetWorkerFaults(id, standin.WorkerFaults{ReportDelay: a.duration(a.text("by", "1s"))})
 	case "leave":
-		s.cell.LeaveWorker(id)
+		s.cell.MarkWorkerLeaving(id)
 	default:
 		a.fail("unknown fault %q", a.word(0))
 	}
@@ -330,13 +330,13 @@
 func logFault(s *state, a *arguments) error {
 	switch a.word(0) {
 	case "up":
-		s.cell.LogFaults(testcell.LogFaults{})
+		s.cell.SetLogFaults(testcell.LogFaults{})
 	case "down":
-		s.cell.LogFaults(testcell.LogFaults{Down: true})
+		s.cell.SetLogFaults(testcell.LogFaults{Down: true})
 	case "slow":
-		s.cell.LogFaults(testcell.LogFaults{Slow: a.duration(a.text("by", "1s"))})
+		s.cell.SetLogFaults(testcell.LogFaults{Slow: a.duration(a.text("by", "1s"))})
 	case "lose-answers":
-		s.cell.LogFaults(testcell.LogFaults{LoseAnswer: true})
+		s.cell.SetLogFaults(testcell.LogFaults{LoseAnswer: true})
 	default:
 		a.fail("unknown state %q", a.word(0))
 	}
--- a/internal/scenario/determinism_test.go
+++ b/internal/scenario/determinism_test.go
@@ -30,7 +30,7 @@
 
 func recordActions(seed uint64) []recordedAction {
 	var actions []recordedAction
-	_ = generate(seed).run(func(*testcell.Cell) testcell.Tamper {
+	_ = generate(seed).run(func(*testcell.Cell) testcell.FaultInjector {
 		return fault{action: func(at model.InstanceID, a event.Action) []event.Action {
 			actions = append(actions, recordedAction{at, a})
 			return []event.Action{a}
--- a/internal/scenario/gang_test.go
+++ b/internal/scenario/gang_test.go
@@ -17,7 +17,7 @@
 		r.Op, r.Count = model.OpSubmit, int(a.number(a.text("count", "1")))
 		r.Task.Kind = kind
 		via := model.InstanceID(a.text("via", "entry-1"))
-		s.calls[r.ID] = s.cell.Do(via, model.TeamID(a.text("team", "")), r)
+		s.calls[r.ID] = s.cell.SendRequest(via, model.TeamID(a.text("team", "")), r)
 		return a.err
 	}
 }
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	got := s.cell.Do("entry-1", first.Team, model.Request{Op: model.OpStatus, Key: first.Request.Key, ID: first.ID(), Why: true})
+	got := s.cell.SendRequest("entry-1", first.Team, model.Request{Op: model.OpStatus, Key: first.Request.Key, ID: first.ID(), Why: true})
 	s.cell.Advance(100 * time.Millisecond)
 	if len(got.Answers) == 0 || !strings.Contains(string(got.Answers[0].Answer.Body), a.word(1)) {
 		return fmt.Errorf("gang %s: %q is not in the explanation: %+v", a.word(0), a.word(1), got.Answers)
--- a/internal/scenario/mutation_test.go
+++ b/internal/scenario/mutation_test.go
@@ -64,7 +64,7 @@
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
 			s := readScript(t, m.script)
-			plant := func(c *testcell.Cell) testcell.Tamper { return m.tamper(c) }
+			plant := func(c *testcell.Cell) testcell.FaultInjector { return m.tamper(c) }
 			err := s.failure(plant)
 			require.Contains(t, m.breaks, testcell.Promise(kindOf(err)), "%s does not detect this fault: %v", m.script, err)
 			t.Logf("detected by %s:\n%s%v", m.script, s, err)
@@ -89,7 +89,7 @@
 	{
 		name:   "a worker's lease is not checked",
 		script: "start_late_fenced_no_task_runs_twice",
-		breaks: []testcell.Promise{testcell.PromiseCapacity, testcell.PromiseOnePlace, testcell.PromiseOnce, testcell.PromiseLimit},
+		breaks: []testcell.Promise{testcell.PromiseCapacity, testcell.PromiseSingleRun, testcell.PromiseAtMostOnce, testcell.PromiseLimit},
 		tamper: func(c *testcell.Cell) fault {
 			return fault{start: func(at model.WorkerID, r platform.StartRequest) platform.StartRequest {
 				if ref, held := c.LeaseOf(at); held {
@@ -126,7 +126,7 @@
 	{
 		name:   "running tasks are forgotten",
 		script: "connection_cut_task_states_are_retold",
-		breaks: []testcell.Promise{testcell.PromiseOnePlace, testcell.PromiseOnce},
+		breaks: []testcell.Promise{testcell.PromiseSingleRun, testcell.PromiseAtMostOnce},
 		tamper: func(*testcell.Cell) fault {
 			return fault{event: func(_ model.InstanceID, e event.Event) event.Event {
 				p, ok := e.(event.PeerMessage)
@@ -173,7 +173,7 @@
 	{
 		name:   "a start is sent again under a new id",
 		script: "no_failure_every_call_is_done",
-		breaks: []testcell.Promise{testcell.PromiseOnePlace, testcell.PromiseOnce, testcell.PromiseCapacity},
+		breaks: []testcell.Promise{testcell.PromiseSingleRun, testcell.PromiseAtMostOnce, testcell.PromiseCapacity},
 		tamper: onAction(func(a event.Action) []event.Action {
 			s, ok := a.(event.Start)
 			if !ok {
@@ -198,7 +198,7 @@
 	{
 		name:   "answers go to the wrong requests",
 		script: "no_failure_every_call_is_done",
-		breaks: []testcell.Promise{testcell.PromiseDone},
+		breaks: []testcell.Promise{testcell.PromiseCompleteAnswer},
 		tamper: func(*testcell.Cell) fault {
 			var last []byte
 			return onAnswer(func(a model.Answer) []model.Answer {
@@ -212,13 +212,13 @@
 	{
 		name:   "an answer is given twice",
 		script: "no_failure_every_call_is_done",
-		breaks: []testcell.Promise{testcell.PromiseAnswer},
+		breaks: []testcell.Promise{testcell.PromiseAnswerInTime},
 		tamper: onAnswer(func(a model.Answer) []model.Answer { return []model.Answer{a, a} }),
 	},
 	{
 		name:   "refusals at the deadline are lost",
 		script: "worker_unreachable_not_run_is_true",
-		breaks: []testcell.Promise{testcell.PromiseAnswer},
+		breaks: []testcell.Promise{testcell.PromiseAnswerInTime},
 		tamper: onAnswer(func(a model.Answer) []model.Answer {
 			if a.Code == verdict.CodeDeadline {
 				return nil
@@ -245,7 +245,7 @@
 	{
 		name:   "truncated answers are treated as complete",
 		script: "worker_cuts_answers_none_is_passed_on",
-		breaks: []testcell.Promise{testcell.PromiseDone},
+		breaks: []testcell.Promise{testcell.PromiseCompleteAnswer},
 		tamper: onEvent(func(_ model.InstanceID, e event.Event) event.Event {
 			d, ok := e.(event.RenewDone)
 			if !ok {
@@ -261,7 +261,7 @@
 	{
 		name:   "an unanswered start counts as not started",
 		script: "start_answer_lost_and_worker_restarted_not_repeated",
-		breaks: []testcell.Promise{testcell.PromiseOnePlace, testcell.PromiseOnce, testcell.PromiseCapacity, testcell.PromiseLimit, testcell.PromiseNotRun},
+		breaks: []testcell.Promise{testcell.PromiseSingleRun, testcell.PromiseAtMostOnce, testcell.PromiseCapacity, testcell.PromiseLimit, testcell.PromiseNotRun},
 		tamper: onEvent(func(_ model.InstanceID, e event.Event) event.Event {
 			if d, ok := e.(event.StartDone); ok && d.Verdict == verdict.MayHaveRun {
 				d.Verdict = verdict.NotRun
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -64,12 +64,12 @@
 }
 
 // tamperFunc returns the fault to plant into a cell. A nil function plants none.
-type tamperFunc func(*testcell.Cell) testcell.Tamper
+type tamperFunc func(*testcell.Cell) testcell.FaultInjector
 
 func newState(seed uint64, tamper tamperFunc) *state {
 	s := &state{cell: testcell.New(testcell.Options{Seed: seed}), calls: make(map[string]*testcell.Call), tamper: tamper}
 	if tamper != nil {
-		s.cell.SetTamper(tamper(s.cell))
+		s.cell.SetFaultInjector(tamper(s.cell))
 	}
 	return s
 }
--- a/internal/testcell/call.go
+++ b/internal/testcell/call.go
@@ -16,17 +16,17 @@
 	Handle   uint64
 	Request  model.Request
 	Team     model.TeamID // team of the request's key
-	Via      model.InstanceID
+	Instance model.InstanceID
 	SentAt   time.Duration
 	Deadline time.Duration // on the cell's clock, which is the caller's
-	Answers  []Answered
+	Answers  []ReceivedAnswer
 	// Lost is set when the instance was killed before it answered or was not
 	// running when the request was sent.
 	Lost bool
 }
 
-// Answered is an answer and the time at which the caller received it.
-type Answered struct {
+// ReceivedAnswer is an answer and the time at which the caller received it.
+type ReceivedAnswer struct {
 	At     time.Duration
 	Answer model.Answer
 }
@@ -54,15 +54,15 @@
 	return verdict.Pending
 }
 
-// Do sends a request of a team to an instance. The call's deadline follows from
+// SendRequest sends a request of a team to an instance. The call's deadline follows from
 // the request's timeout, which is limited to the cell's request timeout.
-func (c *Cell) Do(via model.InstanceID, team model.TeamID, r model.Request) *Call {
+func (c *Cell) SendRequest(via model.InstanceID, team model.TeamID, r model.Request) *Call {
 	timeout := r.Timeout
 	if timeout <= 0 || timeout > c.options.Timing.RequestTimeout {
 		timeout = c.options.Timing.RequestTimeout
 	}
 	call := &Call{
-		Handle: uint64(len(c.calls) + 1), Request: r, Team: team, Via: via,
+		Handle: uint64(len(c.calls) + 1), Request: r, Team: team, Instance: via,
 		SentAt: c.now, Deadline: c.now + timeout,
 	}
 	c.calls = append(c.calls, call)
@@ -77,11 +77,11 @@
 
 func (c *Cell) respond(_ *instance, a event.Respond) {
 	call := c.calls[a.Handle-1]
-	call.Answers = append(call.Answers, Answered{At: c.now, Answer: a.Answer})
+	call.Answers = append(call.Answers, ReceivedAnswer{At: c.now, Answer: a.Answer})
 }
 
-// LogFaults replaces the injected faults of the log.
-func (c *Cell) LogFaults(f LogFaults) {
+// SetLogFaults replaces the injected faults of the log.
+func (c *Cell) SetLogFaults(f LogFaults) {
 	c.log.SetFaults(c.wallTime(), f)
 	c.logFaultsSetAt = c.now
 }
--- a/internal/testcell/check.go
+++ b/internal/testcell/check.go
@@ -16,17 +16,17 @@
 
 // Promises that Check verifies.
 const (
-	PromiseCapacity Promise = "no worker is committed beyond what it has"
-	PromiseOnePlace Promise = "no task runs in two places"
-	PromiseOnce     Promise = "what must not be repeated runs at most once"
-	PromiseLimit    Promise = "no team runs more than its upper limit"
-	PromiseKey      Promise = "a withdrawn key stops working"
-	PromiseNotRun   Promise = "an answer that says not run is true"
-	PromiseDone     Promise = "an answer is the whole answer to its own request"
-	PromiseAnswer   Promise = "every request gets one final answer in time"
-	PromiseLeaving  Promise = "a leaving worker gets no new work"
-	PromiseConfig   Promise = "an accepted configuration comes into force and never reverts"
-	PromiseDrain    Promise = "a planned stop cuts off no request"
+	PromiseCapacity       Promise = "no worker is committed beyond what it has"
+	PromiseSingleRun      Promise = "no task runs in two places"
+	PromiseAtMostOnce     Promise = "what must not be repeated runs at most once"
+	PromiseLimit          Promise = "no team runs more than its upper limit"
+	PromiseKey            Promise = "a withdrawn key stops working"
+	PromiseNotRun         Promise = "an answer that says not run is true"
+	PromiseCompleteAnswer Promise = "an answer is the whole answer to its own request"
+	PromiseAnswerInTime   Promise = "every request gets one final answer in time"
+	PromiseLeaving        Promise = "a leaving worker gets no new work"
+	PromiseConfig         Promise = "an accepted configuration comes into force and never reverts"
+	PromiseDrain          Promise = "a planned stop cuts off no request"
 )
 
 // Violation is a broken promise.
@@ -133,15 +133,15 @@
 			at := e.At.Sub(epoch)
 			first, startedBefore := started[e.Task]
 			if startedBefore && (notRepeatable[base] || !restartedBetween(events, first, e.At)) {
-				c.violateAt(at, PromiseOnePlace, "%s started on %s and on %s", e.Task, first.Worker, e.Worker)
+				c.violateAt(at, PromiseSingleRun, "%s started on %s and on %s", e.Task, first.Worker, e.Worker)
 			}
 			if other, isRunning := runningTasks[base]; isRunning {
-				c.violateAt(at, PromiseOnePlace, "%s starts while %s runs", e.Task, other)
+				c.violateAt(at, PromiseSingleRun, "%s starts while %s runs", e.Task, other)
 			}
 			started[e.Task], runningTasks[base] = e, e.Task
 			runs[base]++
 			if runs[base] > 1 && notRepeatable[base] {
-				c.violateAt(at, PromiseOnce, "%s runs for the %d. time", base, runs[base])
+				c.violateAt(at, PromiseAtMostOnce, "%s runs for the %d. time", base, runs[base])
 			}
 		case standin.EventEnd:
 			delete(runningTasks, base)
--- a/internal/testcell/check_calls.go
+++ b/internal/testcell/check_calls.go
@@ -53,14 +53,14 @@
 // killed or paused instance are exempt: their own client ends the call.
 func (c *Cell) checkAnswered(call *Call) {
 	if n := len(call.Answers); n > 1 {
-		c.violateAt(call.Answers[1].At, PromiseAnswer, "call %d to %s got %d answers", call.Handle, call.Via, n)
+		c.violateAt(call.Answers[1].At, PromiseAnswerInTime, "call %d to %s got %d answers", call.Handle, call.Instance, n)
 	}
-	in := c.instances[call.Via]
+	in := c.instances[call.Instance]
 	answerDeadline := max(call.Deadline, in.availableSince+call.Deadline-call.SentAt) + answerGrace
 	if call.answered() || call.Lost || in.paused || c.now <= answerDeadline {
 		return
 	}
-	c.violateAt(answerDeadline, PromiseAnswer, "call %d to %s (%s) has no answer", call.Handle, call.Via, call.ID())
+	c.violateAt(answerDeadline, PromiseAnswerInTime, "call %d to %s (%s) has no answer", call.Handle, call.Instance, call.ID())
 }
 
 // attemptCodes are the codes that refuse one attempt to submit a request and state
@@ -132,16 +132,16 @@
 				return
 			}
 		}
-		c.violateAt(answer.At, PromiseDone, "call %d was answered failed, but no run of %s failed", call.Handle, call.baseTask())
+		c.violateAt(answer.At, PromiseCompleteAnswer, "call %d was answered failed, but no run of %s failed", call.Handle, call.baseTask())
 		return
 	}
 	var e echoAnswer
 	if err := json.Unmarshal(answer.Answer.Body, &e); err != nil {
-		c.violateAt(answer.At, PromiseDone, "call %d got an invalid answer: %v", call.Handle, err)
+		c.violateAt(answer.At, PromiseCompleteAnswer, "call %d got an invalid answer: %v", call.Handle, err)
 		return
 	}
 	if !bytes.Equal(e.Echo, call.Request.Task.Payload) || model.BaseTask(e.Task) != call.baseTask() {
-		c.violateAt(answer.At, PromiseDone, "call %d (%s) got the answer of %s", call.Handle, call.baseTask(), e.Task)
+		c.violateAt(answer.At, PromiseCompleteAnswer, "call %d (%s) got the answer of %s", call.Handle, call.baseTask(), e.Task)
 		return
 	}
 	for _, out := range h.ends {
@@ -149,7 +149,7 @@
 			return
 		}
 	}
-	c.violateAt(answer.At, PromiseDone, "call %d got an answer that no worker gave", call.Handle)
+	c.violateAt(answer.At, PromiseCompleteAnswer, "call %d got an answer that no worker gave", call.Handle)
 }
 
 // checkKey checks that a request was refused if its key had been withdrawn for at
--- a/internal/testcell/instance.go
+++ b/internal/testcell/instance.go
@@ -174,7 +174,7 @@
 		c.disconnectLater(l, c.randomDuration(0, c.options.Timing.DeadAfter))
 	}
 	for _, call := range c.calls {
-		if call.Via == id && !call.answered() {
+		if call.Instance == id && !call.answered() {
 			call.Lost = true
 		}
 	}
@@ -192,8 +192,8 @@
 	}
 }
 
-// Wake ends a pause. The deferred deliveries are handled in order.
-func (c *Cell) Wake(id model.InstanceID) {
+// Resume ends a pause. The deferred deliveries are handled in order.
+func (c *Cell) Resume(id model.InstanceID) {
 	in := c.instances[id]
 	if !in.alive || !in.paused {
 		return
@@ -329,8 +329,8 @@
 	})
 }
 
-// Version returns the highest configuration version in force at any instance.
-func (c *Cell) Version() uint64 {
+// MaxConfigVersion returns the highest configuration version in force at any instance.
+func (c *Cell) MaxConfigVersion() uint64 {
 	var highest uint64
 	for _, in := range c.instances {
 		highest = max(highest, in.maxVersion)
--- a/internal/testcell/network.go
+++ b/internal/testcell/network.go
@@ -158,27 +158,27 @@
 	l.owners[l.pair.a], l.owners[l.pair.b] = a.owner(), b.owner()
 }
 
-// Cut partitions the network between two instances until Heal.
-func (c *Cell) Cut(a, b model.InstanceID) {
+// Partition partitions the network between two instances until Heal.
+func (c *Cell) Partition(a, b model.InstanceID) {
 	l := c.linkBetween(a, b)
 	l.partitioned = true
 	c.disconnectLater(l, c.randomDuration(c.options.Timing.DeadAfter/2, c.options.Timing.DeadAfter))
 }
 
-// Silence makes the current connection of two instances drop every message. The
+// BlackholeConnection makes the current connection of two instances drop every message. The
 // instances detect this after a while and start a new connection, which works.
-func (c *Cell) Silence(a, b model.InstanceID) {
+func (c *Cell) BlackholeConnection(a, b model.InstanceID) {
 	l := c.linkBetween(a, b)
 	l.blackholed = l.up
 	c.disconnectLater(l, c.options.Timing.DeadAfter+c.randomDuration(0, time.Second))
 }
 
-// Heal ends all partitions: between instances, and of instances from the log and
+// EndPartitions ends all partitions: between instances, and of instances from the log and
 // from workers.
-func (c *Cell) Heal() {
+func (c *Cell) EndPartitions() {
 	for i, a := range c.order {
 		for _, b := range c.order[i+1:] {
-			c.HealLink(a, b)
+			c.EndPartition(a, b)
 		}
 	}
 	for id := range c.logUnreachable {
@@ -190,9 +190,9 @@
 	}
 }
 
-// HealLink ends the partition between two instances and delivers the buffered
+// EndPartition ends the partition between two instances and delivers the buffered
 // messages.
-func (c *Cell) HealLink(a, b model.InstanceID) {
+func (c *Cell) EndPartition(a, b model.InstanceID) {
 	l := c.linkBetween(a, b)
 	l.partitioned = false
 	buffered := l.buffered
@@ -202,5 +202,5 @@
 	}
 }
 
-// CutLog makes the log unreachable from an instance until Heal.
-func (c *Cell) CutLog(id model.InstanceID) { c.logUnreachable[id] = true }
+// PartitionFromLog makes the log unreachable from an instance until Heal.
+func (c *Cell) PartitionFromLog(id model.InstanceID) { c.logUnreachable[id] = true }
--- a/internal/testcell/tamper.go
+++ b/internal/testcell/tamper.go
@@ -10,8 +10,8 @@
 // LogFaults are the injected faults of the log.
 type LogFaults = standin.LogFaults
 
-// Tamper injects a fault between the cores and their environment.
-type Tamper interface {
+// FaultInjector injects a fault between the cores and their environment.
+type FaultInjector interface {
 	// Event returns the event that a core handles in place of e.
 	Event(at model.InstanceID, e event.Event) event.Event
 	// Action returns the actions that are executed in place of a.
@@ -20,8 +20,8 @@
 	Start(at model.WorkerID, r platform.StartRequest) platform.StartRequest
 }
 
-// SetTamper injects a fault, to test that Check detects it.
-func (c *Cell) SetTamper(t Tamper) { c.tamper = t }
+// SetFaultInjector injects a fault, to test that Check detects it.
+func (c *Cell) SetFaultInjector(t FaultInjector) { c.tamper = t }
 
 // LeaseOf returns the lease in force at a worker; ok is false when there is none.
 func (c *Cell) LeaseOf(id model.WorkerID) (ref platform.LeaseRef, ok bool) {
--- a/internal/testcell/worker.go
+++ b/internal/testcell/worker.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// WorkerFaults replaces the injected faults of a worker.
-func (c *Cell) WorkerFaults(id model.WorkerID, f standin.WorkerFaults) {
+// SetWorkerFaults replaces the injected faults of a worker.
+func (c *Cell) SetWorkerFaults(id model.WorkerID, f standin.WorkerFaults) {
 	w := c.workers[id]
 	w.core.SetFaults(c.wallTime(), f)
 	w.update()
@@ -62,19 +62,19 @@
 	w.update()
 }
 
-// DelayWorker delays commands to a worker by d; 0 ends the delay.
-func (c *Cell) DelayWorker(id model.WorkerID, d time.Duration) { c.workers[id].commandDelay = d }
+// SetCommandDelay delays commands to a worker by d; 0 ends the delay.
+func (c *Cell) SetCommandDelay(id model.WorkerID, d time.Duration) { c.workers[id].commandDelay = d }
 
-// LoseRenewals sets whether the answers of a worker's renewals are lost.
-func (c *Cell) LoseRenewals(id model.WorkerID, lose bool) { c.workers[id].loseRenewals = lose }
+// SetRenewalLoss sets whether the answers of a worker's renewals are lost.
+func (c *Cell) SetRenewalLoss(id model.WorkerID, lose bool) { c.workers[id].loseRenewals = lose }
 
-// CutWorker makes a worker unreachable from an instance until Heal.
-func (c *Cell) CutWorker(in model.InstanceID, id model.WorkerID) {
+// PartitionFromWorker makes a worker unreachable from an instance until Heal.
+func (c *Cell) PartitionFromWorker(in model.InstanceID, id model.WorkerID) {
 	c.workers[id].unreachableFrom[in] = true
 }
 
-// LeaveWorker marks a worker as leaving in the list.
-func (c *Cell) LeaveWorker(id model.WorkerID) {
+// MarkWorkerLeaving marks a worker as leaving in the list.
+func (c *Cell) MarkWorkerLeaving(id model.WorkerID) {
 	c.list.MarkWorkerLeaving(c.wallTime(), id)
 	c.leavingSince[id] = c.now + c.listLag
 }
