--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -22,7 +22,7 @@
 	if cfg.Record == nil {
 		return &trace{}, nil
 	}
-	keys, err := kernel.Find[replay.Keys](c.Kernel(), service.Config)
+	keys, err := kernel.Find[replay.KeyReferencer](c.Kernel(), service.Config)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/replay/drive_test.go
+++ b/internal/replay/drive_test.go
@@ -68,7 +68,7 @@
 	}}
 	c, err := core.New(o)
 	require.NoError(t, err)
-	keys, err := kernel.Find[Keys](c.Kernel(), service.Config)
+	keys, err := kernel.Find[KeyReferencer](c.Kernel(), service.Config)
 	require.NoError(t, err)
 	recorder, err := NewRecorder(out, o, keys)
 	require.NoError(t, err)
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -39,18 +39,18 @@
 // that owns the core may call it.
 type Recorder struct {
 	out  *bufio.Writer
-	keys Keys
+	keys KeyReferencer
 }
 
-// Keys returns the reference under which a caller's key is recorded, so that a
+// KeyReferencer returns the reference under which a caller's key is recorded, so that a
 // trace contains no secret.
-type Keys interface {
+type KeyReferencer interface {
 	KeyReference(secret string) string
 }
 
 // NewRecorder starts a trace of a core that was created with o and writes the
 // header. It returns an error when out cannot be written.
-func NewRecorder(out io.Writer, o core.Options, keys Keys) (*Recorder, error) {
+func NewRecorder(out io.Writer, o core.Options, keys KeyReferencer) (*Recorder, error) {
 	r := &Recorder{out: bufio.NewWriter(out), keys: keys}
 	return r, r.write(header{Format: traceFormat, Self: o.Self, Timing: o.Timing, Seed: o.Seed})
 }
