--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -32,7 +32,7 @@
 	ledger   ledgerProbe
 	open     interface{ Open() int }
 	busy     interface{ Busy() int }
-	handover interface{ Settled() bool }
+	handover interface{ Drained() bool }
 }
 
 type configProbe interface {
@@ -65,7 +65,7 @@
 	if p.busy, err = kernel.Find[interface{ Busy() int }](k, service.Requests); err != nil {
 		return p, err
 	}
-	if p.handover, err = kernel.Find[interface{ Settled() bool }](k, service.Handover); err != nil {
+	if p.handover, err = kernel.Find[interface{ Drained() bool }](k, service.Handover); err != nil {
 		return p, err
 	}
 	p.open, err = kernel.Find[interface{ Open() int }](k, service.Gateway)
@@ -86,6 +86,6 @@
 	v.OwnedShards, v.AppliedOffset = len(p.owners.Owned()), p.owners.Applied()
 	v.HeldWorkers, v.LeasedWorkers, v.Free = len(p.ledger.Holding()), len(p.ledger.Coverage().Workers), p.ledger.Free()
 	v.ConfigVersion = p.config.Version()
-	v.Drained = v.WaitingCallers == 0 && v.OpenRequests == 0 && p.handover.Settled()
+	v.Drained = v.WaitingCallers == 0 && v.OpenRequests == 0 && p.handover.Drained()
 	return v
 }
--- a/internal/service/handover/handover.go
+++ b/internal/service/handover/handover.go
@@ -265,7 +265,7 @@
 
 // Settled reports whether nothing remains to be handed over: no shard is owned, no
 // other member is eligible, or the drain has taken longer than drainTimeout.
-func (s *Service) Settled() bool {
+func (s *Service) Drained() bool {
 	if len(s.ownership.Owned()) == 0 {
 		return true
 	}
