--- a/internal/capacity/core_bench_test.go
+++ b/internal/capacity/core_bench_test.go
@@ -266,7 +266,7 @@
 		}
 		memory, err := kernel.Find[handover.Memory](c.core.Kernel(), service.Requests)
 		require.NoError(b, err)
-		of, entries := memory.Export(shards)
+		of, entries := memory.ExportRecords(shards)
 		return fixedValue(b, float64(len(encode(b, wire.Memory{ID: 1, Shards: of, Entries: entries}))))
 	})
 }
--- a/internal/service/handover/handover.go
+++ b/internal/service/handover/handover.go
@@ -38,11 +38,11 @@
 // Memory exports and imports what an owner remembers of requests.
 type Memory interface {
 	// Remembered returns the number of requests that are remembered for a shard.
-	Remembered(model.Shard) int
+	RecordCount(model.Shard) int
 	// Export returns the memory of the shards and their requests.
-	Export(shards []wire.ShardTerm) ([]wire.ShardMemory, []wire.RequestMemory)
+	ExportRecords(shards []wire.ShardTerm) ([]wire.ShardMemory, []wire.RequestMemory)
 	// Import keeps a received memory until the log contains its handover.
-	Import(m wire.Memory)
+	ImportRecords(m wire.Memory)
 }
 
 // Service is the handover service.
@@ -158,7 +158,7 @@
 		if !ok || target == s.env.Owner() || len(shards) > 0 && target != to {
 			continue
 		}
-		requests += s.memory.Remembered(st.Shard)
+		requests += s.memory.RecordCount(st.Shard)
 		if len(shards) > 0 && requests > maxRequests {
 			break
 		}
@@ -174,7 +174,7 @@
 func (s *Service) send(to wire.Owner, shards []wire.ShardTerm) {
 	s.lastTransferID++
 	s.current = &transfer{id: s.lastTransferID, to: to, shards: shards, deadline: s.env.Now() + sendTimeout}
-	memory, entries := s.memory.Export(shards)
+	memory, entries := s.memory.ExportRecords(shards)
 	s.note("handover-send", fmt.Sprintf("%d shards, %d requests to %s", len(shards), len(entries), to.Instance))
 	s.env.Send(to.Instance, wire.Memory{ID: s.lastTransferID, Shards: memory, Entries: entries})
 }
@@ -183,7 +183,7 @@
 func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
 	switch m := m.(type) {
 	case wire.Memory:
-		s.memory.Import(m)
+		s.memory.ImportRecords(m)
 		s.env.Send(from.Instance, wire.MemoryKept{ID: m.ID})
 	case wire.MemoryKept:
 		s.onMemoryKept(from, m)
--- a/internal/service/jobs/jobs.go
+++ b/internal/service/jobs/jobs.go
@@ -29,11 +29,11 @@
 	// CancelTask cancels a task of a job.
 	CancelTask(id model.TaskID)
 	// Forget removes an ended task.
-	Forget(id model.TaskID)
+	RemoveTask(id model.TaskID)
 	// Reply sends a caller its answer.
 	Reply(c requests.Caller, a model.Answer)
 	// Why returns, as JSON, why the first waiting task of ids waits.
-	Why(ids []model.TaskID) []byte
+	ExplainWait(ids []model.TaskID) []byte
 	// Phases counts the tasks of ids that wait and those that run.
 	Phases(ids []model.TaskID) (waiting, running int)
 }
@@ -199,7 +199,7 @@
 	if !success {
 		j.failed++
 	}
-	s.tasks.Forget(taskOf(j.spec, index))
+	s.tasks.RemoveTask(taskOf(j.spec, index))
 }
 
 func taskOf(spec model.Job, index int) model.TaskID {
--- a/internal/service/jobs/snapshot.go
+++ b/internal/service/jobs/snapshot.go
@@ -75,7 +75,7 @@
 func (s *Service) dropJob(k key) {
 	j := s.jobs[k]
 	for i := range j.spec.Count {
-		s.tasks.Forget(taskOf(j.spec, i))
+		s.tasks.RemoveTask(taskOf(j.spec, i))
 	}
 	delete(s.jobs, k)
 }
--- a/internal/service/jobs/snapshot_test.go
+++ b/internal/service/jobs/snapshot_test.go
@@ -20,9 +20,9 @@
 
 func (*fakeTasks) AddTask(model.Job, int, bool)           {}
 func (*fakeTasks) CancelTask(model.TaskID)                {}
-func (t *fakeTasks) Forget(id model.TaskID)               { t.forgotten = append(t.forgotten, id) }
+func (t *fakeTasks) RemoveTask(id model.TaskID)           { t.forgotten = append(t.forgotten, id) }
 func (*fakeTasks) Reply(requests.Caller, model.Answer)    {}
-func (*fakeTasks) Why([]model.TaskID) []byte              { return nil }
+func (*fakeTasks) ExplainWait([]model.TaskID) []byte      { return nil }
 func (*fakeTasks) Phases([]model.TaskID) (waiting, r int) { return 0, 0 }
 
 func newTestService() (*Service, *fakeTasks) {
--- a/internal/service/jobs/status.go
+++ b/internal/service/jobs/status.go
@@ -58,7 +58,7 @@
 	d := Document{Count: j.spec.Count, Done: len(j.done) - j.failed, Failed: j.failed, Canceled: j.canceled}
 	d.Waiting, d.Running = s.tasks.Phases(ids)
 	if why {
-		d.Why = s.tasks.Why(ids)
+		d.Why = s.tasks.ExplainWait(ids)
 	}
 	return d
 }
--- a/internal/service/requests/jobtasks.go
+++ b/internal/service/requests/jobtasks.go
@@ -113,7 +113,7 @@
 }
 
 // Forget removes the entry of a job's finished task.
-func (s *Service) Forget(id model.TaskID) {
+func (s *Service) RemoveTask(id model.TaskID) {
 	if e, ok := s.entries[id]; ok && e.phase == phaseFinished {
 		delete(s.entries, id)
 	}
@@ -157,7 +157,7 @@
 
 // Why returns the Reason of the first waiting task among ids as JSON, or nil if none
 // waits.
-func (s *Service) Why(ids []model.TaskID) []byte {
+func (s *Service) ExplainWait(ids []model.TaskID) []byte {
 	i := slices.IndexFunc(ids, func(id model.TaskID) bool {
 		e, ok := s.entries[id]
 		return ok && (e.phase == phaseWaiting || e.phase == phaseGang)
--- a/internal/service/requests/memory.go
+++ b/internal/service/requests/memory.go
@@ -23,7 +23,7 @@
 }
 
 // Export returns the records of the shards' requests, with times as ages.
-func (s *Service) Export(shards []wire.ShardTerm) ([]wire.ShardMemory, []wire.RequestMemory) {
+func (s *Service) ExportRecords(shards []wire.ShardTerm) ([]wire.ShardMemory, []wire.RequestMemory) {
 	var memory []wire.ShardMemory
 	wanted := make(map[model.Shard]bool, len(shards))
 	for _, st := range shards {
@@ -61,7 +61,7 @@
 }
 
 // Remembered returns the number of a shard's requests recorded here.
-func (s *Service) Remembered(shard model.Shard) int {
+func (s *Service) RecordCount(shard model.Shard) int {
 	n := 0
 	for _, e := range s.entries {
 		if e.shard == shard {
@@ -73,7 +73,7 @@
 
 // Import keeps records received from a shard's owner until the log reports the
 // handover of the shard.
-func (s *Service) Import(m wire.Memory) {
+func (s *Service) ImportRecords(m wire.Memory) {
 	for _, shard := range m.Shards {
 		s.imports[shard.ShardTerm.Shard] = &pendingImport{shard: shard, receivedAt: s.env.Now()}
 	}
--- a/internal/service/requests/requests.go
+++ b/internal/service/requests/requests.go
@@ -339,4 +339,4 @@
 func (s *Service) Waiting(team model.TeamID) int64 { return int64(s.queue.Waiting(team)) }
 
 // Busy returns the number of requests here without a final answer.
-func (s *Service) Busy() int { return len(s.open) }
+func (s *Service) OpenRequests() int { return len(s.open) }
--- a/internal/testcell/instance.go
+++ b/internal/testcell/instance.go
@@ -221,11 +221,11 @@
 	if err != nil {
 		panic(err)
 	}
-	busy, err := kernel.Find[interface{ Busy() int }](k, service.Requests)
+	busy, err := kernel.Find[interface{ OpenRequests() int }](k, service.Requests)
 	if err != nil {
 		panic(err)
 	}
-	return open.Open() == 0 && busy.Busy() == 0
+	return open.Open() == 0 && busy.OpenRequests() == 0
 }
 
 // appendNext appends the pending records of an instance as one entry, unless an
