--- a/internal/service/ledger/gang.go
+++ b/internal/service/ledger/gang.go
@@ -24,7 +24,7 @@
 			out.Tasks = append(out.Tasks, t.ID)
 		}
 	}
-	allowed := s.limits.Room(team, others+int64(len(out.Tasks))) - others
+	allowed := s.limits.StartableTasks(team, others+int64(len(out.Tasks))) - others
 	for int64(len(out.Tasks)) > max(allowed, 0) {
 		last := len(out.Tasks) - 1
 		s.releaseHold(out.Tasks[last])
@@ -99,5 +99,5 @@
 		return false
 	}
 	held := s.gangHoldCount(t.Team)
-	return held > 0 && s.limits.Room(t.Team, held+1) <= held
+	return held > 0 && s.limits.StartableTasks(t.Team, held+1) <= held
 }
--- a/internal/service/ledger/ledger.go
+++ b/internal/service/ledger/ledger.go
@@ -39,10 +39,10 @@
 	// MayStart reports whether one more task of a team may start here.
 	MayStart(model.TeamID) bool
 	// Room returns how many of the wanted tasks of a team may start here.
-	Room(team model.TeamID, wanted int64) int64
+	StartableTasks(team model.TeamID, wanted int64) int64
 	// Shed records that a task of the team may still run on a worker that this
 	// instance no longer holds.
-	Shed(model.TeamID)
+	ReduceCeiling(model.TeamID)
 }
 
 // Service tracks the workers held here and the tasks on them.
@@ -188,7 +188,7 @@
 		}
 	}
 	for _, t := range s.tasksOn(w.info.ID) {
-		s.limits.Shed(t.spec.Team)
+		s.limits.ReduceCeiling(t.spec.Team)
 		s.removeTask(t)
 	}
 	s.placement.scheduler.Fleet.Remove(w.info.ID)
--- a/internal/service/limits/gang_demand.go
+++ b/internal/service/limits/gang_demand.go
@@ -18,7 +18,7 @@
 
 // Room returns how many of the wanted tasks of a team may start on this instance.
 // The wanted tasks count as demand for gangDemandRetention.
-func (s *Service) Room(team model.TeamID, wanted int64) int64 {
+func (s *Service) StartableTasks(team model.TeamID, wanted int64) int64 {
 	if !s.config.Limited(team) {
 		return wanted
 	}
--- a/internal/service/limits/reduction.go
+++ b/internal/service/limits/reduction.go
@@ -20,7 +20,7 @@
 
 // Shed reduces the ceiling of a team by one: a task of the team runs on, but on a
 // worker whose lease this instance no longer holds.
-func (s *Service) Shed(team model.TeamID) {
+func (s *Service) ReduceCeiling(team model.TeamID) {
 	c := s.currentCeiling(team)
 	c.max = max(c.max-1, 0)
 	s.ceilings[team] = c
