--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -47,7 +47,7 @@
 }
 
 type ledgerProbe interface {
-	Holding() []model.WorkerID
+	HeldWorkers() []model.WorkerID
 	Coverage() wire.Coverage
 	Free() model.Resources
 }
@@ -84,7 +84,7 @@
 	}
 	v.WaitingCallers, v.OpenRequests = p.open.Open(), p.busy.OpenRequests()
 	v.OwnedShards, v.AppliedOffset = len(p.owners.Owned()), p.owners.Applied()
-	v.HeldWorkers, v.LeasedWorkers, v.Free = len(p.ledger.Holding()), len(p.ledger.Coverage().Workers), p.ledger.Free()
+	v.HeldWorkers, v.LeasedWorkers, v.Free = len(p.ledger.HeldWorkers()), len(p.ledger.Coverage().Workers), p.ledger.Free()
 	v.ConfigVersion = p.config.Version()
 	v.Drained = v.WaitingCallers == 0 && v.OpenRequests == 0 && p.handover.Drained()
 	return v
--- a/internal/service/gateway/gateway.go
+++ b/internal/service/gateway/gateway.go
@@ -58,7 +58,7 @@
 // Ledger describes the workers held by this instance.
 type Ledger interface {
 	Free() model.Resources
-	Holding() []model.WorkerID
+	HeldWorkers() []model.WorkerID
 	Coverage() wire.Coverage
 }
 
@@ -378,7 +378,7 @@
 func (s *Service) cell() Cell {
 	c := Cell{
 		Instance: s.env.Self.ID, Live: s.members.Live(), Shards: make(map[model.InstanceID]int),
-		Workers: s.ledger.Holding(), Covered: len(s.ledger.Coverage().Workers), Free: s.ledger.Free(),
+		Workers: s.ledger.HeldWorkers(), Covered: len(s.ledger.Coverage().Workers), Free: s.ledger.Free(),
 		Leaving: s.members.Leaving(), Open: len(s.pending),
 	}
 	for _, shardOwner := range s.ownership.ShardOwners() {
--- a/internal/service/ledger/ledger.go
+++ b/internal/service/ledger/ledger.go
@@ -328,7 +328,7 @@
 }
 
 // Roster returns every listed worker, including those held by other instances.
-func (s *Service) Roster() map[model.WorkerID]model.Worker { return s.listed }
+func (s *Service) ListedWorkers() map[model.WorkerID]model.Worker { return s.listed }
 
 // Holding returns the workers whose shards this instance owns, sorted.
-func (s *Service) Holding() []model.WorkerID { return s.workerIDs }
+func (s *Service) HeldWorkers() []model.WorkerID { return s.workerIDs }
--- a/internal/service/limits/escrow.go
+++ b/internal/service/limits/escrow.go
@@ -231,7 +231,7 @@
 		}
 	}
 	var slots int64
-	for id, w := range s.ledger.Roster() {
+	for id, w := range s.ledger.ListedWorkers() {
 		if !covered[id] {
 			slots += w.Capacity.Slots
 		}
--- a/internal/service/limits/limits.go
+++ b/internal/service/limits/limits.go
@@ -52,7 +52,7 @@
 	// Coverage returns the workers whose state this instance knows completely.
 	Coverage() wire.Coverage
 	// Roster returns every listed worker.
-	Roster() map[model.WorkerID]model.Worker
+	ListedWorkers() map[model.WorkerID]model.Worker
 }
 
 // Ownership provides the shard owners, which are responsible for the limits of
@@ -217,7 +217,7 @@
 
 // taskSlots returns the number of task slots on the workers that a member covers.
 func (s *Service) taskSlots(o wire.Owner) int64 {
-	roster := s.ledger.Roster()
+	roster := s.ledger.ListedWorkers()
 	var slots int64
 	for _, id := range s.coverageOf(o).Workers {
 		if w := roster[id]; !w.Leaving {
--- a/internal/service/requests/dispatch.go
+++ b/internal/service/requests/dispatch.go
@@ -48,7 +48,7 @@
 // each team's usage at other instances as reported by heartbeats.
 func (s *Service) refreshShares() {
 	var capacity model.Resources
-	for _, w := range s.ledger.Roster() {
+	for _, w := range s.ledger.ListedWorkers() {
 		capacity = capacity.Add(w.Capacity)
 	}
 	s.queue.SetCapacity(capacity)
--- a/internal/service/requests/gang.go
+++ b/internal/service/requests/gang.go
@@ -52,7 +52,7 @@
 	if count > maxGangTasks {
 		return verdict.Refuse(verdict.CodeBadRequest, "a gang may have at most %d tasks", maxGangTasks)
 	}
-	roster := s.ledger.Roster()
+	roster := s.ledger.ListedWorkers()
 	var matching, fitting int64
 	for _, w := range roster {
 		if t.Require.Matches(w.Labels) {
--- a/internal/service/requests/locate.go
+++ b/internal/service/requests/locate.go
@@ -105,7 +105,7 @@
 }
 
 func (s *Service) coversAll(l *locate) bool {
-	roster := s.ledger.Roster()
+	roster := s.ledger.ListedWorkers()
 	for id := range roster {
 		if !l.covered[id] {
 			return false
--- a/internal/service/requests/requests.go
+++ b/internal/service/requests/requests.go
@@ -49,7 +49,7 @@
 	Locate(wire.Locate) wire.Located
 	Cancel(wire.CancelTask)
 	Free() model.Resources
-	Roster() map[model.WorkerID]model.Worker
+	ListedWorkers() map[model.WorkerID]model.Worker
 	Usage(model.TeamID) model.Resources
 	Explain(t *model.Task) scheduler.Explanation
 	HoldTasks(wire.HoldTasks) wire.Held
@@ -290,7 +290,7 @@
 }
 
 func (s *Service) fitsListedWorker(t *model.Task) bool {
-	roster := s.ledger.Roster()
+	roster := s.ledger.ListedWorkers()
 	if len(roster) == 0 {
 		return true
 	}
