--- a/internal/service/config/hours.go
+++ b/internal/service/config/hours.go
@@ -29,13 +29,13 @@
 
 // Limited reports whether a team has an upper limit at any hour. It does not
 // depend on the clock.
-func (s *Service) Limited(id model.TeamID) bool { return s.state.HasLimit(id) }
+func (s *Service) HasLimit(id model.TeamID) bool { return s.state.HasLimit(id) }
 
 // LimitedTeams returns the teams with an upper limit at any hour, sorted.
 func (s *Service) LimitedTeams() []model.TeamID {
 	var teams []model.TeamID
 	for _, t := range s.state.Declarations().Teams {
-		if s.Limited(t.Name) {
+		if s.HasLimit(t.Name) {
 			teams = append(teams, t.Name)
 		}
 	}
--- a/internal/service/limits/gang_demand.go
+++ b/internal/service/limits/gang_demand.go
@@ -19,7 +19,7 @@
 // Room returns how many of the wanted tasks of a team may start on this instance.
 // The wanted tasks count as demand for gangDemandRetention.
 func (s *Service) StartableTasks(team model.TeamID, wanted int64) int64 {
-	if !s.config.Limited(team) {
+	if !s.config.HasLimit(team) {
 		return wanted
 	}
 	if wanted >= s.gangDemands[team].count {
--- a/internal/service/limits/limits.go
+++ b/internal/service/limits/limits.go
@@ -30,7 +30,7 @@
 	Limit(model.TeamID) int64
 	// Limited reports whether a team has a limit at any hour. It does not depend on the
 	// clock.
-	Limited(model.TeamID) bool
+	HasLimit(model.TeamID) bool
 	// LimitedTeams returns the teams with a limit at any hour, sorted.
 	LimitedTeams() []model.TeamID
 	// MaxLimit returns the highest limit declared for any hour, 0 when there is an hour
@@ -148,7 +148,7 @@
 
 // MayStart reports whether one more task of team may start here.
 func (s *Service) MayStart(team model.TeamID) bool {
-	if !s.config.Limited(team) {
+	if !s.config.HasLimit(team) {
 		return true
 	}
 	if s.config.Fresh() && s.ledger.Running(team) < s.currentCeiling(team).max {
