--- a/internal/capacity/jobs_bench_test.go
+++ b/internal/capacity/jobs_bench_test.go
@@ -71,6 +71,6 @@
 	measure(b, "snapshot_entry_bytes_by_job", encodedBytes, "job with 200 ended tasks", []int{20, 200}, func(b *testing.B, n int) float64 {
 		snapshots, err := kernel.Find[*snapshots.Service](jobCell(b, n, 200).core.Kernel(), service.Snapshots)
 		require.NoError(b, err)
-		return fixedValue(b, float64(entryBytes(b, snapshots.Take())))
+		return fixedValue(b, float64(entryBytes(b, snapshots.TakeSnapshot())))
 	})
 }
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -7,7 +7,7 @@
 
 // snapshotter saves and restores the state of all services.
 type snapshotter interface {
-	Take() wire.Snapshot
+	TakeSnapshot() wire.Snapshot
 	Restore(wire.Snapshot) error
 }
 
@@ -77,5 +77,5 @@
 
 // sendSnapshot sends this core's state to a peer.
 func (r *logReader) sendSnapshot(to wire.Owner) {
-	r.env.Send(to.Instance, wire.SnapshotState{Snapshot: r.snapshots.Take()})
+	r.env.Send(to.Instance, wire.SnapshotState{Snapshot: r.snapshots.TakeSnapshot()})
 }
--- a/internal/core/restore_test.go
+++ b/internal/core/restore_test.go
@@ -44,7 +44,7 @@
 		c.append(drawRecord(t, c, i))
 		c.read("full")
 		if rapid.IntRange(0, 3).Draw(t, "take") == 0 {
-			taken = append(taken, c.cores["full"].reader.snapshots.Take())
+			taken = append(taken, c.cores["full"].reader.snapshots.TakeSnapshot())
 		}
 		if len(taken) > 0 && rapid.Bool().Draw(t, "append") {
 			c.append(taken[0])
@@ -79,7 +79,7 @@
 		if !usable {
 			require.Equal(rt, stop+firstOffset, c.cores["late"].NextOffset(), "no entry is applied without a usable snapshot")
 			require.False(rt, c.config("late").Fresh())
-			c.cores["late"].reader.installSnapshot(full.reader.snapshots.Take())
+			c.cores["late"].reader.installSnapshot(full.reader.snapshots.TakeSnapshot())
 		}
 		require.Equal(rt, full.NextOffset(), c.cores["late"].NextOffset())
 		require.Equal(rt, c.table("full"), c.table("late"))
--- a/internal/service/snapshots/snapshots.go
+++ b/internal/service/snapshots/snapshots.go
@@ -77,7 +77,7 @@
 		return
 	}
 	s.appendedAt = s.env.Now()
-	s.env.Append(s.Take())
+	s.env.Append(s.TakeSnapshot())
 }
 
 // due reports whether a snapshot is due: there are entries after the last one, and
@@ -94,7 +94,7 @@
 
 // Take returns the state of all services after the last applied entry. It must not
 // be called while an entry is being applied.
-func (s *Service) Take() wire.Snapshot {
+func (s *Service) TakeSnapshot() wire.Snapshot {
 	snap := wire.Snapshot{Applied: s.ownership.Applied()}
 	for _, src := range s.sources {
 		snap.Parts = append(snap.Parts, wire.SnapshotPart{Name: src.SnapshotName(), Data: src.Snapshot()})
