--- a/internal/cell/advice/advice.go
+++ b/internal/cell/advice/advice.go
@@ -19,8 +19,8 @@
 	maxLongBacklog  = 300 * time.Millisecond
 )
 
-// Delegate is a delegate: an instance that calls the adviser for the leader. The zero
-// value is idle.
+// Delegate is an instance that calls the adviser for the leader. The zero value is
+// idle.
 type Delegate struct {
 	busyUntil    time.Time // expected end of the calls sent
 	calls        int       // calls that have not ended
@@ -31,22 +31,22 @@
 const failureBackoff = 400 * time.Millisecond
 
 // CallSent records that a call of the expected duration cost is sent at now.
-func (a *Delegate) CallSent(now time.Time, cost time.Duration) {
-	if a.calls == 0 || a.busyUntil.Before(now) {
-		a.busyUntil = now
+func (d *Delegate) CallSent(now time.Time, cost time.Duration) {
+	if d.calls == 0 || d.busyUntil.Before(now) {
+		d.busyUntil = now
 	}
-	a.busyUntil = a.busyUntil.Add(cost)
-	a.calls++
+	d.busyUntil = d.busyUntil.Add(cost)
+	d.calls++
 }
 
 // CallEnded records that a call ended at now, and whether it succeeded.
-func (a *Delegate) CallEnded(now time.Time, cost time.Duration, ok bool) {
-	a.calls = max(0, a.calls-1)
-	if a.calls == 0 {
-		a.busyUntil = now
+func (d *Delegate) CallEnded(now time.Time, cost time.Duration, ok bool) {
+	d.calls = max(0, d.calls-1)
+	if d.calls == 0 {
+		d.busyUntil = now
 	}
 	if !ok {
-		a.backoffUntil = now.Add(failureBackoff)
+		d.backoffUntil = now.Add(failureBackoff)
 	}
 }
 
@@ -68,12 +68,12 @@
 		if i < firstAllowed && len(delegates) > 1 {
 			continue
 		}
-		a := delegates[i]
-		if now.Before(a.backoffUntil) {
+		d := delegates[i]
+		if now.Before(d.backoffUntil) {
 			continue
 		}
-		wait := max(0, a.busyUntil.Sub(now))
-		if a.calls == 0 {
+		wait := max(0, d.busyUntil.Sub(now))
+		if d.calls == 0 {
 			wait = 0
 		}
 		if wait > maxBacklog {
--- a/internal/cell/engine/advising.go
+++ b/internal/cell/engine/advising.go
@@ -327,8 +327,8 @@
 // adviceRetryDelay is the delay after a failed call to the adviser.
 const adviceRetryDelay = 30 * time.Millisecond
 
-// advised applies the outcome of a call to the adviser.
-func (e *Engine) advised(ev *AdviceAnswered) {
+// adviceAnswered applies the outcome of a call to the adviser.
+func (e *Engine) adviceAnswered(ev *AdviceAnswered) {
 	s := ev.Call.step
 	s.advice.callsInFlight--
 	e.needsPlacement = true
--- a/internal/cell/engine/backlog.go
+++ b/internal/cell/engine/backlog.go
@@ -105,10 +105,10 @@
 
 // loadFor returns the present load for a job of q that starts with tasks of first.
 //
-// Load.Open is the capacity that these tasks fit into now and that would stay unused
-// without them. Steps that a placement round tried and left waiting could not use it, for
-// lack of advice or of resources for a whole gang, so only the CPU of untried steps is
-// subtracted.
+// Load.BackfillCores is the capacity that these tasks fit into now and that would
+// stay unused without them. Steps that a placement round tried and left waiting
+// could not use it, for lack of advice or of resources for a whole gang, so only the
+// CPU of untried steps is subtracted.
 func (e *Engine) loadFor(q *policy.Queue, first *job.Step) admission.Load {
 	e.measureDemand()
 	load := admission.Load{}
--- a/internal/cell/engine/commands.go
+++ b/internal/cell/engine/commands.go
@@ -204,7 +204,7 @@
 	}
 }
 
-// retryStops repeats the stop commands that got no answer for longer than StopRetry.
+// retryStops repeats the stop commands that got no answer for longer than StopRetryDelay.
 func (e *Engine) retryStops() {
 	if e.now.Sub(e.stopsRetriedAt) < e.cfg.StopRetryDelay/8 {
 		return
--- a/internal/cell/engine/ends.go
+++ b/internal/cell/engine/ends.go
@@ -54,7 +54,7 @@
 
 // endRun removes a run from its worker and decides what follows for its task. source
 // says for the log how the end became known.
-func (e *Engine) endRun(r *run, how EndReason, checkpoint, source string) {
+func (e *Engine) endRun(r *run, reason EndReason, checkpoint, source string) {
 	if r.ended {
 		return
 	}
@@ -73,23 +73,23 @@
 	if !r.startSent {
 		what = "run dropped" // no start command was sent
 	}
-	e.log.Info(what, "job", j.id, "task", t.name, "run", r.number, "worker", r.worker.id, "how", how.String(),
+	e.log.Info(what, "job", j.id, "task", t.name, "run", r.number, "worker", r.worker.id, "how", reason.String(),
 		"source", source, "ran_ms", e.msSince(r.startSentAt), "percent", r.percent, "stop_reason", r.stopReason)
-	e.updateHealth(r, how)
+	e.updateHealth(r, reason)
 	e.markDirty(s)
 	e.needsPlacement = true
 	if j.state.Final() {
 		e.compactJob(j)
 		return
 	}
-	switch how {
+	switch reason {
 	case EndedDone:
 		e.observeRuntime(r)
 		e.taskDone(t)
 	case EndedFailed:
 		e.taskFailed(t, r)
 	}
-	if s.spec.Gang && !t.done && how != EndedDone {
+	if s.spec.Gang && !t.done && reason != EndedDone {
 		e.stopGangRun(s, r.number)
 	}
 }
@@ -164,9 +164,9 @@
 }
 
 // updateHealth updates the health of a worker with the outcome of a run.
-func (e *Engine) updateHealth(r *run, how EndReason) {
+func (e *Engine) updateHealth(r *run, reason EndReason) {
 	w := r.worker
-	switch how {
+	switch reason {
 	case EndedDone:
 		w.health.succeeded()
 	case EndedFailed:
--- a/internal/cell/engine/engine.go
+++ b/internal/cell/engine/engine.go
@@ -130,7 +130,7 @@
 	case *StopAnswered:
 		e.stopAnswered(ev)
 	case *AdviceAnswered:
-		e.advised(ev)
+		e.adviceAnswered(ev)
 	case *Appended:
 		e.appended(ev)
 	case *StoreRecovered:
--- a/internal/cell/engine/jobs.go
+++ b/internal/cell/engine/jobs.go
@@ -268,8 +268,8 @@
 	return false
 }
 
-// dropExpiredJobs drops jobs that ended more than KeepEnded ago, from the store as
-// well, and forgets old stop commands for unknown runs.
+// dropExpiredJobs drops jobs that ended more than EndedJobRetention ago, from the
+// store as well, and forgets old stop commands for unknown runs.
 func (e *Engine) dropExpiredJobs() {
 	n := 0
 	wall := e.wall()
--- a/internal/cell/engine/types.go
+++ b/internal/cell/engine/types.go
@@ -35,10 +35,10 @@
 	EndedGangIncomplete // the other members of the gang did not start in time
 )
 
-var howNames = [...]string{"unknown", "done", "failed", "stopped", "lapsed", "broken", "alone"}
+var endReasonNames = [...]string{"unknown", "done", "failed", "stopped", "lapsed", "broken", "alone"}
 
 // String returns the name of h that logs use.
-func (h EndReason) String() string { return howNames[h] }
+func (h EndReason) String() string { return endReasonNames[h] }
 
 // RunStatus is a run that a worker reports as running.
 type RunStatus struct {
@@ -124,7 +124,8 @@
 	PolicyChanged struct{ Policy *policy.Policy }
 	// WorkersListed carries the complete directory of workers.
 	WorkersListed struct{ Workers []WorkerInfo }
-	// RenewalAnswered is the outcome of a renewal (Look). Report is nil if there was no answer.
+	// RenewalAnswered is the outcome of a renewal (Renew). Report is nil if there was no
+	// answer.
 	RenewalAnswered struct {
 		Worker      string
 		Incarnation int64     // incarnation that the renewal named
@@ -147,7 +148,7 @@
 		Refusal     Refusal
 		Incarnation int64 // incarnation of the worker that answered, zero if unknown
 	}
-	// AdviceAnswered is the outcome of a call to the adviser (Ask).
+	// AdviceAnswered is the outcome of a call to the adviser (AdviceCall).
 	AdviceAnswered struct {
 		Call *AdviceCall
 		Good map[string]string // ticket by worker
@@ -197,8 +198,8 @@
 		Timeout     time.Duration // for an answer
 		run         *run
 	}
-	// Renew is a renewal: it extends the lease of all runs on a worker, acknowledges
-	// the finished runs up to Cursor and asks which runs the worker has.
+	// Renew is a call that extends the lease of all runs on a worker, acknowledges the
+	// finished runs up to Cursor and asks which runs the worker has.
 	Renew struct {
 		Worker      string
 		Address     string
@@ -208,7 +209,7 @@
 		MaxWait     time.Duration // maximum time that the worker may delay its answer
 		Timeout     time.Duration // for an answer
 	}
-	// AdviceCall is a call to the adviser about a step, which the delegate Arm makes.
+	// AdviceCall is a call to the adviser about a step, which Delegate makes.
 	AdviceCall struct {
 		Delegate string // name of an instance
 		Step     string
--- a/internal/cell/engine/workers.go
+++ b/internal/cell/engine/workers.go
@@ -132,7 +132,7 @@
 			e.log.Info("worker no longer listed", "worker", w.id, "runs", len(w.runs), "last_answer_ms", e.msSince(w.lastAnswer))
 		}
 	}
-	e.forgetWorkers()
+	e.dropUnlistedWorkers()
 }
 
 // workerListed applies the directory's entry of a worker.
@@ -178,8 +178,9 @@
 	e.needsPlacement = true
 }
 
-// forgetWorkers drops idle workers that left the directory more than ForgetWorker ago.
-func (e *Engine) forgetWorkers() {
+// dropUnlistedWorkers drops idle workers that left the directory more than
+// UnlistedWorkerRetention ago.
+func (e *Engine) dropUnlistedWorkers() {
 	kept := e.workerList[:0]
 	for _, w := range e.workerList {
 		if !w.listed && len(w.runs) == 0 && w.unstoredBatches == 0 && e.now.Sub(w.unlistedSince) > e.cfg.UnlistedWorkerRetention {
--- a/internal/cell/engine/world_test.go
+++ b/internal/cell/engine/world_test.go
@@ -303,11 +303,11 @@
 				w.endRun(s, r, EndedGangIncomplete)
 			}
 		case w.now.Sub(r.workStart()) >= time.Duration(float64(r.runtime)*s.slowdown):
-			how := EndedDone
+			reason := EndedDone
 			if r.fails {
-				how = EndedFailed
+				reason = EndedFailed
 			}
-			w.endRun(s, r, how)
+			w.endRun(s, r, reason)
 		}
 	}
 }
@@ -315,33 +315,33 @@
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 // endRun ends a run and answers the renewals that wait for an end.
-func (w *world) endRun(s *simWorker, r *simRun, how EndReason) {
+func (w *world) endRun(s *simWorker, r *simRun, reason EndReason) {
 	delete(s.runs, r.task)
 	delete(w.tasks[r.task].runs, s.id)
 	s.endedRuns[r.task] = max(s.endedRuns[r.task], r.run)
-	if how == EndedDone {
+	if reason == EndedDone {
 		w.tasks[r.task].succeeded = true
 		id := strings.SplitN(r.task, ".", 2)[0]
 		w.turnaround[id] = w.now.Sub(w.submittedAt[id])
 	}
 	s.lastEnd++
-	s.ended = append(s.ended, RunEnd{Number: s.lastEnd, Task: r.task, Run: r.run, Reason: how})
+	s.ended = append(s.ended, RunEnd{Number: s.lastEnd, Task: r.task, Run: r.run, Reason: reason})
 	waiting := s.pendingAnswers
 	s.pendingAnswers = nil
 	for _, f := range waiting {
 		f()
 	}
 	if r.gang != nil {
-		w.endGang(r, how)
+		w.endGang(r, reason)
 	}
 }
 
 // endGang ends the other members of a complete gang after one has ended: as done if it is
 // done, else as broken.
-func (w *world) endGang(r *simRun, how EndReason) {
+func (w *world) endGang(r *simRun, reason EndReason) {
 	delete(r.gang.members, r.task)
-	if how != EndedDone {
-		how = EndedGangBroken
+	if reason != EndedDone {
+		reason = EndedGangBroken
 	}
 	if r.gang.completeAt.IsZero() {
 		return
@@ -351,7 +351,7 @@
 		delete(r.gang.members, name)
 		if r.gang.workers[name].runs[name] == m {
 			m.gang = nil
-			w.endRun(r.gang.workers[name], m, how)
+			w.endRun(r.gang.workers[name], m, reason)
 		}
 	}
 }
--- a/internal/cell/node/ports.go
+++ b/internal/cell/node/ports.go
@@ -47,7 +47,7 @@
 	Fence(ctx context.Context, term int64) error
 	// Append stores all of the records or none. Repeating it with the same term and
 	// sequence number has no further effect. Its errors may be marked ErrFenced or
-	// ErrNotDone.
+	// ErrNoEffect.
 	Append(ctx context.Context, term, sequence int64, records []record.Record) error
 	// Load calls f with the newest record of every key.
 	Load(ctx context.Context, f func(record.Record)) error
--- a/internal/cell/ordering/ordering.go
+++ b/internal/cell/ordering/ordering.go
@@ -21,14 +21,14 @@
 // Timeliness classifies a step by the expected end of its job relative to its objective.
 type Timeliness int
 
-// Bands, in the order in which their steps are placed.
+// Classes of timeliness, in the order in which their steps are placed.
 const (
 	InTime  Timeliness = iota // within the objective
 	Late                      // after the objective, but still useful
 	TooLate                   // of no more use to the caller
 )
 
-// TimelinessOf returns the band of s at now.
+// TimelinessOf returns the timeliness of s at now.
 func TimelinessOf(s Step, now time.Time) Timeliness {
 	duration := now.Add(s.Remaining).Sub(s.Arrived)
 	switch {
@@ -43,7 +43,7 @@
 // Key is the sort key of a step, computed once for each round of placement.
 type Key struct {
 	overEntitlement bool
-	band            Timeliness
+	timeliness      Timeliness
 	priority        int
 	latestStart     time.Time // latest time to place the step for the job to finish in time
 }
@@ -58,8 +58,8 @@
 	switch {
 	case a.overEntitlement != b.overEntitlement:
 		return !a.overEntitlement
-	case a.band != b.band:
-		return a.band < b.band
+	case a.timeliness != b.timeliness:
+		return a.timeliness < b.timeliness
 	case a.priority != b.priority:
 		return a.priority < b.priority
 	}
--- a/internal/cell/placement/placement.go
+++ b/internal/cell/placement/placement.go
@@ -34,7 +34,7 @@
 const slownessBucket = 0.15
 
 // Place returns the index of a candidate for each task that it places, at most
-// Request.Count. With Request.All it returns nil unless all tasks are placed.
+// Request.Count. With Request.AllOrNothing it returns nil unless all tasks are placed.
 func Place(req Request, candidates []Candidate) []int {
 	if req.SameRack {
 		if chosen := onOneRack(req, candidates); chosen != nil {
--- a/internal/cell/record/record.go
+++ b/internal/cell/record/record.go
@@ -57,10 +57,9 @@
 	Checkpoint  string
 }
 
-// Step is the progress of the tasks of a step. Copies holds the speculative runs by
-// the index of their task. Good holds the workers that the adviser recommended and
-// Asked those that it was asked about. Both are kept while tasks wait, as advice is
-// slow to get.
+// Step is the progress of the tasks of a step. SpeculativeRuns is indexed by
+// task. GoodWorkers holds the workers that the adviser recommended and Asked those
+// that it was asked about. Both are kept while tasks wait, as advice is slow to get.
 type Step struct {
 	Tasks           []Task       `cbor:"1,keyasint"`
 	SpeculativeRuns map[int]Task `cbor:"2,keyasint,omitempty"`
@@ -68,7 +67,7 @@
 	Asked           NameSet      `cbor:"4,keyasint,omitempty"`
 }
 
-// GoodWorker is a worker that the adviser recommended for a step, in the incarnation Life.
+// GoodWorker is a worker that the adviser recommended for a step, in one incarnation.
 // The advice is valid for the whole incarnation; its ticket expires earlier.
 type GoodWorker struct {
 	_           struct{} `cbor:",toarray"`
--- a/internal/soak/workers_test.go
+++ b/internal/soak/workers_test.go
@@ -202,14 +202,14 @@
 	}
 }
 
-func (f *fleet) endRun(w *worker, r *taskRun, how string) {
+func (f *fleet) endRun(w *worker, r *taskRun, reason string) {
 	delete(w.runs, r.task)
 	delete(f.runsOn, r.task)
 	w.usedCPU -= r.cpu
 	w.closedRun[r.task] = max(w.closedRun[r.task], r.run)
 	w.lastEnd++
-	w.ended = append(w.ended, []any{w.lastEnd, r.task, r.run, how, ""})
-	if how == "done" {
+	w.ended = append(w.ended, []any{w.lastEnd, r.task, r.run, reason, ""})
+	if reason == "done" {
 		f.done[r.task] = true
 	}
 	close(w.changed)
