--- a/internal/scheduler/experiment_test.go
+++ b/internal/scheduler/experiment_test.go
@@ -75,7 +75,7 @@
 	s            *Scheduler
 	q            *queue.Queue
 	planner      *preempt.Planner
-	keeper       *quarantine.Tracker
+	tracker      *quarantine.Tracker
 	estimator    *estimates.Estimator
 	accounts     *shares.Accounts // by the actual team, also when the queue has one team only
 	w            *workload
@@ -120,7 +120,7 @@
 		pending:      make(map[model.TeamID]model.Resources),
 		started:      func(*model.Task, time.Duration) {},
 	}
-	x.keeper = quarantine.New(x.s.Fleet)
+	x.tracker = quarantine.New(x.s.Fleet)
 	for i, w := range benchWorkers(o.workers) {
 		w.Capacity.Accelerators = 0
 		x.s.Fleet.Upsert(w)
@@ -208,7 +208,7 @@
 		x.unpark(id)
 	}
 	if x.quarantine {
-		x.keeper.Tick(x.now)
+		x.tracker.Tick(x.now)
 	}
 	x.decide()
 }
@@ -337,6 +337,6 @@
 		x.estimator.Observe(&again, model.Outcome{Ran: known.runTime, Usage: known.usage})
 	}
 	if x.quarantine && !e.stop {
-		x.keeper.Observe(x.now, a.Node.Worker.ID, a.Task, failed)
+		x.tracker.Observe(x.now, a.Node.Worker.ID, a.Task, failed)
 	}
 }
--- a/internal/scheduler/quarantine/quarantine.go
+++ b/internal/scheduler/quarantine/quarantine.go
@@ -53,7 +53,7 @@
 	jobs        *jobTable
 }
 
-// New returns a Keeper for a fleet.
+// New returns a Tracker for a fleet.
 func New(f *fleet.Fleet) *Tracker {
 	return &Tracker{fleet: f, records: make(map[model.WorkerID]*record), jobs: newJobTable()}
 }
@@ -61,28 +61,28 @@
 // Observe records the outcome of a task that ran to its end and reports whether the
 // worker was quarantined for it. The caller leaves out tasks that were stopped,
 // because these are no evidence about a worker.
-func (k *Tracker) Observe(now time.Duration, worker model.WorkerID, t *model.Task, failed bool) bool {
+func (tr *Tracker) Observe(now time.Duration, worker model.WorkerID, t *model.Task, failed bool) bool {
 	key := keyOf(t)
-	job := k.jobs.get(key)
-	r := k.record(worker)
+	job := tr.jobs.get(key)
+	r := tr.record(worker)
 	if failed {
-		k.addFailure(r, key, job)
+		tr.addFailure(r, key, job)
 	} else {
-		k.addSuccess(r, job)
+		tr.addSuccess(r, job)
 	}
 	job.setOutcome(worker, failed)
 	if r.probation {
-		return k.updateProbation(now, r, failed)
+		return tr.updateProbation(now, r, failed)
 	}
 	if r.evidence < evidenceThreshold || r.quarantined {
 		return false
 	}
-	return k.quarantine(now, r)
+	return tr.quarantine(now, r)
 }
 
 // addFailure adds evidence. A job that has succeeded on no other worker counts only
 // once against a worker.
-func (k *Tracker) addFailure(r *record, key jobKey, job *jobRecord) {
+func (tr *Tracker) addFailure(r *record, key jobKey, job *jobRecord) {
 	rate, succeeded := job.failureRate(r.worker)
 	weight := max(0, math.Log(brokenFailureRate/rate))
 	if succeeded {
@@ -99,7 +99,7 @@
 }
 
 // addSuccess reduces the evidence.
-func (k *Tracker) addSuccess(r *record, job *jobRecord) {
+func (tr *Tracker) addSuccess(r *record, job *jobRecord) {
 	rate, _ := job.failureRate(r.worker)
 	r.evidence = max(0, r.evidence+math.Log((1-brokenFailureRate)/(1-rate)))
 	if r.evidence == 0 {
@@ -109,8 +109,8 @@
 
 // quarantine starts a quarantine. It returns false if the worker isn't in the fleet or
 // too many workers are in quarantine.
-func (k *Tracker) quarantine(now time.Duration, r *record) bool {
-	if k.fleet.Node(r.worker) == nil || len(k.quarantined) >= k.maxQuarantined() {
+func (tr *Tracker) quarantine(now time.Duration, r *record) bool {
+	if tr.fleet.Node(r.worker) == nil || len(tr.quarantined) >= tr.maxQuarantined() {
 		return false
 	}
 	if now-r.quarantinedAt >= backoffResetDelay {
@@ -121,23 +121,23 @@
 	r.quarantinedAt = now
 	r.until = now + min(firstDuration<<min(r.quarantines, 16), maxDuration)
 	r.quarantines++
-	k.quarantined = append(k.quarantined, r)
-	k.setReason(r, fleet.ReasonProbation, false)
-	k.setReason(r, fleet.ReasonQuarantined, true)
+	tr.quarantined = append(tr.quarantined, r)
+	tr.setReason(r, fleet.ReasonProbation, false)
+	tr.setReason(r, fleet.ReasonQuarantined, true)
 	return true
 }
 
 // maxQuarantined returns how many workers may be in quarantine at once.
-func (k *Tracker) maxQuarantined() int {
-	return max(1, int(maxQuarantinedRatio*float64(len(k.fleet.Nodes()))))
+func (tr *Tracker) maxQuarantined() int {
+	return max(1, int(maxQuarantinedRatio*float64(len(tr.fleet.Nodes()))))
 }
 
 // Tick puts workers whose quarantine has ended on probation, and deletes the records
 // of quarantined workers that are no longer in the fleet.
-func (k *Tracker) Tick(now time.Duration) {
-	k.quarantined = slices.DeleteFunc(k.quarantined, func(r *record) bool {
-		if k.fleet.Node(r.worker) == nil {
-			delete(k.records, r.worker)
+func (tr *Tracker) Tick(now time.Duration) {
+	tr.quarantined = slices.DeleteFunc(tr.quarantined, func(r *record) bool {
+		if tr.fleet.Node(r.worker) == nil {
+			delete(tr.records, r.worker)
 			return true
 		}
 		if now < r.until {
@@ -148,8 +148,8 @@
 		r.successes = 0
 		r.evidence = 0
 		clear(r.byJob)
-		k.setReason(r, fleet.ReasonQuarantined, false)
-		k.setReason(r, fleet.ReasonProbation, true)
+		tr.setReason(r, fleet.ReasonQuarantined, false)
+		tr.setReason(r, fleet.ReasonProbation, true)
 		return true
 	})
 }
@@ -157,9 +157,9 @@
 // updateProbation ends a probation after enough successes. It quarantines the worker
 // again, and returns true, when a task fails and the evidence is at least half of
 // evidenceThreshold: a job fails there that other workers run.
-func (k *Tracker) updateProbation(now time.Duration, r *record, failed bool) bool {
+func (tr *Tracker) updateProbation(now time.Duration, r *record, failed bool) bool {
 	if failed && r.evidence >= evidenceThreshold/2 {
-		return k.quarantine(now, r)
+		return tr.quarantine(now, r)
 	}
 	if failed {
 		return false
@@ -167,31 +167,31 @@
 	r.successes++
 	if r.successes >= probationSuccesses {
 		r.probation = false
-		k.setReason(r, fleet.ReasonProbation, false)
+		tr.setReason(r, fleet.ReasonProbation, false)
 	}
 	return false
 }
 
 // Remove deletes the record of a worker that was removed from the fleet.
-func (k *Tracker) Remove(worker model.WorkerID) {
-	delete(k.records, worker)
-	k.quarantined = slices.DeleteFunc(k.quarantined, func(r *record) bool { return r.worker == worker })
+func (tr *Tracker) Remove(worker model.WorkerID) {
+	delete(tr.records, worker)
+	tr.quarantined = slices.DeleteFunc(tr.quarantined, func(r *record) bool { return r.worker == worker })
 }
 
 // Quarantined returns the number of workers in quarantine.
-func (k *Tracker) Quarantined() int { return len(k.quarantined) }
+func (tr *Tracker) Quarantined() int { return len(tr.quarantined) }
 
-func (k *Tracker) record(worker model.WorkerID) *record {
-	r := k.records[worker]
+func (tr *Tracker) record(worker model.WorkerID) *record {
+	r := tr.records[worker]
 	if r == nil {
 		r = &record{worker: worker}
-		k.records[worker] = r
+		tr.records[worker] = r
 	}
 	return r
 }
 
 // setReason adds or removes a reason of the worker in the fleet. It ignores the error
 // for a worker that was removed.
-func (k *Tracker) setReason(r *record, reason fleet.Reason, on bool) {
-	_ = k.fleet.SetReasons(r.worker, reason, on)
+func (tr *Tracker) setReason(r *record, reason fleet.Reason, on bool) {
+	_ = tr.fleet.SetReasons(r.worker, reason, on)
 }
--- a/internal/scheduler/quarantine/quarantine_test.go
+++ b/internal/scheduler/quarantine/quarantine_test.go
@@ -32,12 +32,12 @@
 	return out
 }
 
-// observeRandomOutcomes reports random outcomes to a new Keeper: bad workers fail every
+// observeRandomOutcomes reports random outcomes to a new Tracker: bad workers fail every
 // task, job 0 fails on every worker, and other jobs fail one time in twenty.
 func observeRandomOutcomes(f *fleet.Fleet, bad map[model.WorkerID]bool, outcomes int) *Tracker {
 	const seed = 11
 	rng := rand.New(rand.NewPCG(seed, seed))
-	k := New(f)
+	tr := New(f)
 	for i := range outcomes {
 		nodes := f.Nodes()
 		n := nodes[rng.IntN(len(nodes))]
@@ -46,9 +46,9 @@
 		}
 		job := rng.IntN(20)
 		failed := bad[n.Worker.ID] || job == 0 || rng.IntN(20) == 0
-		k.Observe(time.Duration(i)*time.Millisecond, n.Worker.ID, &model.Task{Job: model.JobID(fmt.Sprint(job))}, failed)
+		tr.Observe(time.Duration(i)*time.Millisecond, n.Worker.ID, &model.Task{Job: model.JobID(fmt.Sprint(job))}, failed)
 	}
-	return k
+	return tr
 }
 
 func TestQuarantineFindsWorkersThatFailEverything(t *testing.T) {
@@ -60,13 +60,13 @@
 
 func TestQuarantineIgnoresJobsThatFailEverywhere(t *testing.T) {
 	f := newFleet(100)
-	k := New(f)
+	tr := New(f)
 	for i := range 5000 {
-		k.Observe(0, workerID(i%100), &model.Task{Job: "broken"}, true)
+		tr.Observe(0, workerID(i%100), &model.Task{Job: "broken"}, true)
 	}
-	require.Zero(t, k.Quarantined())
-	k.Observe(0, "w1", &model.Task{Job: "also broken"}, true)
-	require.Zero(t, k.Quarantined())
+	require.Zero(t, tr.Quarantined())
+	tr.Observe(0, "w1", &model.Task{Job: "also broken"}, true)
+	require.Zero(t, tr.Quarantined())
 }
 
 func TestQuarantineIsBounded(t *testing.T) {
@@ -75,33 +75,33 @@
 	for i := range 30 {
 		bad[workerID(i)] = true
 	}
-	k := observeRandomOutcomes(f, bad, 20_000)
-	require.Equal(t, 5, k.Quarantined())
+	tr := observeRandomOutcomes(f, bad, 20_000)
+	require.Equal(t, 5, tr.Quarantined())
 }
 
 func TestQuarantineProbation(t *testing.T) {
 	f := newFleet(40)
-	k := New(f)
+	tr := New(f)
 	good := &model.Task{Job: "good"}
 	for i := 1; i < 10; i++ {
-		k.Observe(0, workerID(i), good, false)
+		tr.Observe(0, workerID(i), good, false)
 	}
 	failUntilQuarantined := func(now time.Duration) {
-		for i := 0; i < 10 && !k.Observe(now, "w0", good, true); i++ {
+		for i := 0; i < 10 && !tr.Observe(now, "w0", good, true); i++ {
 		}
 		require.NotZero(t, f.Node("w0").Reasons()&fleet.ReasonQuarantined)
 	}
 	failUntilQuarantined(0)
-	k.Tick(firstDuration - 1)
+	tr.Tick(firstDuration - 1)
 	require.False(t, f.Node("w0").Schedulable())
-	k.Tick(firstDuration)
+	tr.Tick(firstDuration)
 	require.Equal(t, fleet.ReasonProbation, f.Node("w0").Reasons())
 	failUntilQuarantined(firstDuration)
-	k.Tick(2 * firstDuration)
+	tr.Tick(2 * firstDuration)
 	require.False(t, f.Node("w0").Schedulable(), "the second quarantine lasts twice as long")
-	k.Tick(3 * firstDuration)
+	tr.Tick(3 * firstDuration)
 	for range probationSuccesses {
-		k.Observe(3*firstDuration, "w0", good, false)
+		tr.Observe(3*firstDuration, "w0", good, false)
 	}
 	require.Zero(t, f.Node("w0").Reasons())
 }
--- a/internal/scheduler/queue/queue.go
+++ b/internal/scheduler/queue/queue.go
@@ -175,7 +175,7 @@
 }
 
 // Started charges a popped task that was committed to a worker to its team. It
-// returns the task's sequence number in the order received, for Return.
+// returns the task's sequence number in the order received, for Requeue.
 func (q *Queue) Started(t *model.Task) uint64 {
 	var seq uint64
 	if it := q.popped[t.ID]; it != nil {
@@ -299,8 +299,8 @@
 }
 
 // SetWeight sets a team's weight.
-func (q *Queue) SetWeight(name model.TeamID, share int64) {
-	q.Accounts.SetWeight(name, share)
+func (q *Queue) SetWeight(name model.TeamID, weight int64) {
+	q.Accounts.SetWeight(name, weight)
 	q.updateHeaps(q.team(name))
 }
 
@@ -333,11 +333,11 @@
 
 // updateHeaps updates a team's entry in the heap of each class.
 func (q *Queue) updateHeaps(tm *team) {
-	level := tm.account.WeightedShare()
+	weightedShare := tm.account.WeightedShare()
 	for class := range tm.entries {
 		skipped := tm.limited || class != classUrgent && tm.atCeiling()
 		eligible := !skipped && tm.backlogs[class].size > 0 && tm.backlogs[class].next() != nil
-		q.heaps[class].update(&tm.entries[class], eligible, level)
+		q.heaps[class].update(&tm.entries[class], eligible, weightedShare)
 	}
 }
 
--- a/internal/scheduler/shares/shares.go
+++ b/internal/scheduler/shares/shares.go
@@ -32,7 +32,7 @@
 func (a *Account) DominantShare() float64 { return a.dominantShare }
 
 // WeightedShare returns the dominant share divided by the team's weight. The team with the
-// lowest level is served next.
+// lowest weighted share is served next.
 func (a *Account) WeightedShare() float64 { return a.dominantShare / float64(a.weight) }
 
 // Accounts holds the accounts of all teams.
