--- a/internal/core/catchup.go
+++ b/internal/core/catchup.go
@@ -27,9 +27,9 @@
 }
 
 // onHeartbeat stores that a peer is ahead and requests entries from it.
-func (r *logReader) onHeartbeat(from wire.Owner, beat wire.Heartbeat) {
-	if beat.Applied >= r.next {
-		r.ahead = aheadPeer{peer: from, applied: beat.Applied}
+func (r *logReader) onHeartbeat(from wire.Owner, heartbeat wire.Heartbeat) {
+	if heartbeat.Applied >= r.next {
+		r.ahead = aheadPeer{peer: from, applied: heartbeat.Applied}
 	}
 	r.catchUp()
 }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -31,7 +31,7 @@
 	owners   ownerProbe
 	ledger   ledgerProbe
 	open     interface{ Open() int }
-	busy     interface{ OpenRequests() int }
+	requests interface{ OpenRequests() int }
 	handover interface{ Drained() bool }
 }
 
@@ -62,7 +62,7 @@
 	if p.ledger, err = kernel.Find[ledgerProbe](k, service.Ledger); err != nil {
 		return p, err
 	}
-	if p.busy, err = kernel.Find[interface{ OpenRequests() int }](k, service.Requests); err != nil {
+	if p.requests, err = kernel.Find[interface{ OpenRequests() int }](k, service.Requests); err != nil {
 		return p, err
 	}
 	if p.handover, err = kernel.Find[interface{ Drained() bool }](k, service.Handover); err != nil {
@@ -82,7 +82,7 @@
 	case 2*p.owners.ReachableShards() < model.Shards:
 		v.Ready, v.Reason = false, "most shards have no reachable owner"
 	}
-	v.WaitingCallers, v.OpenRequests = p.open.Open(), p.busy.OpenRequests()
+	v.WaitingCallers, v.OpenRequests = p.open.Open(), p.requests.OpenRequests()
 	v.OwnedShards, v.AppliedOffset = len(p.owners.Owned()), p.owners.Applied()
 	v.HeldWorkers, v.LeasedWorkers, v.Free = len(p.ledger.HeldWorkers()), len(p.ledger.Coverage().Workers), p.ledger.Free()
 	v.ConfigVersion = p.config.Version()
--- a/internal/service/config/config.go
+++ b/internal/service/config/config.go
@@ -111,9 +111,9 @@
 	}
 }
 
-func (s *Service) onHeartbeat(from wire.Owner, beat wire.Heartbeat) {
+func (s *Service) onHeartbeat(from wire.Owner, heartbeat wire.Heartbeat) {
 	s.peers[from.Instance] = peerView{
-		applied: beat.Applied, reachedAt: s.env.Now() - beat.LogAge, receivedAt: s.env.Now(),
+		applied: heartbeat.Applied, reachedAt: s.env.Now() - heartbeat.LogAge, receivedAt: s.env.Now(),
 	}
 }
 
--- a/internal/service/config/hours.go
+++ b/internal/service/config/hours.go
@@ -27,7 +27,7 @@
 	return t.Limit
 }
 
-// Limited reports whether a team has an upper limit at any hour. It does not
+// HasLimit reports whether a team has an upper limit at any hour. It does not
 // depend on the clock.
 func (s *Service) HasLimit(id model.TeamID) bool { return s.state.HasLimit(id) }
 
--- a/internal/service/handover/handover.go
+++ b/internal/service/handover/handover.go
@@ -35,13 +35,13 @@
 	IsLive(wire.Owner) bool
 }
 
-// Memory exports and imports what an owner remembers of requests.
+// Memory exports and imports an owner's records of requests.
 type Memory interface {
-	// Remembered returns the number of requests that are remembered for a shard.
+	// RecordCount returns the number of a shard's requests that are recorded.
 	RecordCount(model.Shard) int
-	// Export returns the memory of the shards and their requests.
+	// ExportRecords returns the records of the shards and their requests.
 	ExportRecords(shards []wire.ShardTerm) ([]wire.ShardMemory, []wire.RequestMemory)
-	// Import keeps a received memory until the log contains its handover.
+	// ImportRecords keeps received records until the log contains their handover.
 	ImportRecords(m wire.Memory)
 }
 
@@ -263,7 +263,7 @@
 	s.nextTransferAt = s.env.Now() + transferInterval
 }
 
-// Settled reports whether nothing remains to be handed over: no shard is owned, no
+// Drained reports whether nothing remains to be handed over: no shard is owned, no
 // other member is eligible, or the drain has taken longer than drainTimeout.
 func (s *Service) Drained() bool {
 	if len(s.ownership.Owned()) == 0 {
--- a/internal/service/jobs/jobs.go
+++ b/internal/service/jobs/jobs.go
@@ -28,11 +28,11 @@
 	AddTask(job model.Job, index int, check bool)
 	// CancelTask cancels a task of a job.
 	CancelTask(id model.TaskID)
-	// Forget removes an ended task.
+	// RemoveTask removes an ended task.
 	RemoveTask(id model.TaskID)
 	// Reply sends a caller its answer.
 	Reply(c requests.Caller, a model.Answer)
-	// Why returns, as JSON, why the first waiting task of ids waits.
+	// ExplainWait returns, as JSON, why the first waiting task of ids waits.
 	ExplainWait(ids []model.TaskID) []byte
 	// Phases counts the tasks of ids that wait and those that run.
 	Phases(ids []model.TaskID) (waiting, running int)
@@ -154,7 +154,7 @@
 		j = &job{spec: spec, done: make(map[int]bool)}
 		s.jobs[k] = j
 		s.order = append(s.order, k)
-		if _, mine := s.ownership.OwnedTerm(k.shard()); mine {
+		if _, owned := s.ownership.OwnedTerm(k.shard()); owned {
 			s.addTasks(j, false)
 		}
 	}
@@ -218,7 +218,7 @@
 			s.tasks.Reply(c, s.statusAnswer(k, j))
 		}
 	}
-	if _, mine := s.ownership.OwnedTerm(k.shard()); mine {
+	if _, owned := s.ownership.OwnedTerm(k.shard()); owned {
 		s.cancelTasks(j)
 	}
 }
--- a/internal/service/jobs/snapshot.go
+++ b/internal/service/jobs/snapshot.go
@@ -98,7 +98,7 @@
 	if len(j.done) == j.spec.Count && j.endedAt == 0 {
 		j.endedAt = max(s.env.Now(), 1)
 	}
-	if _, mine := s.ownership.OwnedTerm(k.shard()); mine && !known && j.endedAt == 0 {
+	if _, owned := s.ownership.OwnedTerm(k.shard()); owned && !known && j.endedAt == 0 {
 		s.addTasks(j, true)
 	}
 	if entry.Canceled {
--- a/internal/service/jobs/snapshot_test.go
+++ b/internal/service/jobs/snapshot_test.go
@@ -16,11 +16,11 @@
 
 func (noOwnership) OwnedTerm(model.Shard) (uint64, bool) { return 0, false }
 
-type fakeTasks struct{ forgotten []model.TaskID }
+type fakeTasks struct{ removed []model.TaskID }
 
 func (*fakeTasks) AddTask(model.Job, int, bool)           {}
 func (*fakeTasks) CancelTask(model.TaskID)                {}
-func (t *fakeTasks) RemoveTask(id model.TaskID)           { t.forgotten = append(t.forgotten, id) }
+func (t *fakeTasks) RemoveTask(id model.TaskID)           { t.removed = append(t.removed, id) }
 func (*fakeTasks) Reply(requests.Caller, model.Answer)    {}
 func (*fakeTasks) ExplainWait([]model.TaskID) []byte      { return nil }
 func (*fakeTasks) Phases([]model.TaskID) (waiting, r int) { return 0, 0 }
@@ -63,7 +63,7 @@
 	late.OnRecord(1, acceptedRecord("ended and forgotten"))
 	require.NoError(t, late.Restore(full.Snapshot()))
 	require.Equal(t, full.Snapshot(), late.Snapshot())
-	require.Contains(t, tasks.forgotten, model.TaskIDOf("t", "ended and forgotten", 2))
+	require.Contains(t, tasks.removed, model.TaskIDOf("t", "ended and forgotten", 2))
 	require.Error(t, late.Restore([]byte("no snapshot")))
 	require.Equal(t, full.Snapshot(), late.Snapshot())
 }
--- a/internal/service/ledger/dispatch.go
+++ b/internal/service/ledger/dispatch.go
@@ -206,7 +206,7 @@
 	}})
 }
 
-// FillBeat adds the free resources and the version of the coverage to a heartbeat.
+// FillHeartbeat adds the free resources and the version of the coverage to a heartbeat.
 func (s *Service) FillHeartbeat(b *wire.Heartbeat) {
 	b.Free = s.Free()
 	b.Coverage = s.Coverage().Version
--- a/internal/service/ledger/ledger.go
+++ b/internal/service/ledger/ledger.go
@@ -24,7 +24,7 @@
 
 // Ownership returns the terms and owners of shards.
 type Ownership interface {
-	// Mine returns the term of a shard that this instance owns.
+	// OwnedTerm returns the term of a shard that this instance owns.
 	OwnedTerm(model.Shard) (term uint64, ok bool)
 	Owner(model.Shard) (ownership.ShardOwner, bool)
 }
@@ -38,9 +38,9 @@
 type Limits interface {
 	// MayStart reports whether one more task of a team may start here.
 	MayStart(model.TeamID) bool
-	// Room returns how many of the wanted tasks of a team may start here.
+	// StartableTasks returns how many of the wanted tasks of a team may start here.
 	StartableTasks(team model.TeamID, wanted int64) int64
-	// Shed records that a task of the team may still run on a worker that this
+	// ReduceCeiling records that a task of the team may still run on a worker that this
 	// instance no longer holds.
 	ReduceCeiling(model.TeamID)
 }
@@ -327,8 +327,8 @@
 	return free
 }
 
-// Roster returns every listed worker, including those held by other instances.
+// ListedWorkers returns every listed worker, including those held by other instances.
 func (s *Service) ListedWorkers() map[model.WorkerID]model.Worker { return s.listed }
 
-// Holding returns the workers whose shards this instance owns, sorted.
+// HeldWorkers returns the workers whose shards this instance owns, sorted.
 func (s *Service) HeldWorkers() []model.WorkerID { return s.workerIDs }
--- a/internal/service/ledger/placement.go
+++ b/internal/service/ledger/placement.go
@@ -46,7 +46,7 @@
 }
 
 func (p *placement) setLeased(id model.WorkerID, held bool) {
-	// SetUnschedulable fails only for a worker that is not in the fleet, which
+	// SetReasons fails only for a worker that is not in the fleet, which
 	// receives no tasks anyway.
 	_ = p.scheduler.Fleet.SetReasons(id, fleet.ReasonNoLease, !held)
 }
--- a/internal/service/limits/escrow.go
+++ b/internal/service/limits/escrow.go
@@ -211,7 +211,7 @@
 		Team: team, Term: e.term, Seq: g.seq, Ceiling: ceiling, Limit: s.limit(team), To: to.Incarnation,
 	}
 	if to == s.env.Owner() {
-		msg.HeartbeatSeq = currentBeat
+		msg.HeartbeatSeq = currentHeartbeatSeq
 		s.applyGrant(msg)
 		return
 	}
--- a/internal/service/limits/gang_demand.go
+++ b/internal/service/limits/gang_demand.go
@@ -16,7 +16,7 @@
 
 const gangDemandRetention = 3 * time.Second
 
-// Room returns how many of the wanted tasks of a team may start on this instance.
+// StartableTasks returns how many of the wanted tasks of a team may start on this instance.
 // The wanted tasks count as demand for gangDemandRetention.
 func (s *Service) StartableTasks(team model.TeamID, wanted int64) int64 {
 	if !s.config.HasLimit(team) {
--- a/internal/service/limits/limits.go
+++ b/internal/service/limits/limits.go
@@ -28,7 +28,7 @@
 	// Limit returns the maximum number of running tasks of a team at this hour, 0 for no
 	// limit.
 	Limit(model.TeamID) int64
-	// Limited reports whether a team has a limit at any hour. It does not depend on the
+	// HasLimit reports whether a team has a limit at any hour. It does not depend on the
 	// clock.
 	HasLimit(model.TeamID) bool
 	// LimitedTeams returns the teams with a limit at any hour, sorted.
@@ -51,7 +51,7 @@
 	Teams() []model.TeamID
 	// Coverage returns the workers whose state this instance knows completely.
 	Coverage() wire.Coverage
-	// Roster returns every listed worker.
+	// ListedWorkers returns every listed worker.
 	ListedWorkers() map[model.WorkerID]model.Worker
 }
 
@@ -86,7 +86,7 @@
 
 	ceilings          map[model.TeamID]ceiling
 	reductions        map[model.TeamID][]reduction
-	beat              uint64                 // sequence number of the last heartbeat sent
+	sentHeartbeatSeq  uint64                 // sequence number of the last heartbeat sent
 	refusedStarts     map[model.TeamID]int64 // starts refused since the last heartbeat
 	prevRefusedStarts map[model.TeamID]int64 // starts refused between the two heartbeats before it
 	gangDemands       map[model.TeamID]gangDemand
@@ -178,9 +178,9 @@
 	s.ceilings[g.Team] = ceiling{term: g.Term, seq: g.Seq, max: limit, limit: g.Limit}
 }
 
-// FillBeat adds the running tasks, ceiling and demand of each team to a heartbeat.
+// FillHeartbeat adds the running tasks, ceiling and demand of each team to a heartbeat.
 func (s *Service) FillHeartbeat(b *wire.Heartbeat) {
-	s.beat = b.Seq
+	s.sentHeartbeatSeq = b.Seq
 	b.Teams = s.loads()
 	s.prevRefusedStarts, s.refusedStarts = s.refusedStarts, make(map[model.TeamID]int64)
 }
@@ -217,10 +217,10 @@
 
 // taskSlots returns the number of task slots on the workers that a member covers.
 func (s *Service) taskSlots(o wire.Owner) int64 {
-	roster := s.ledger.ListedWorkers()
+	listed := s.ledger.ListedWorkers()
 	var slots int64
 	for _, id := range s.coverageOf(o).Workers {
-		if w := roster[id]; !w.Leaving {
+		if w := listed[id]; !w.Leaving {
 			slots += w.Capacity.Slots
 		}
 	}
--- a/internal/service/membership/membership.go
+++ b/internal/service/membership/membership.go
@@ -34,11 +34,11 @@
 	contributors []service.HeartbeatContributor
 	listeners    []service.MemberDeadHandler
 
-	listed   map[model.InstanceID]platform.Instance
-	members  map[model.InstanceID]*Member
-	beatSeq  uint64
-	lastBeat time.Duration
-	leaving  bool
+	listed           map[model.InstanceID]platform.Instance
+	members          map[model.InstanceID]*Member
+	heartbeatSeq     uint64
+	heartbeatsSentAt time.Duration
+	leaving          bool
 }
 
 // New returns the membership service.
@@ -79,7 +79,7 @@
 	}
 }
 
-func (s *Service) onHeartbeat(from wire.Owner, beat wire.Heartbeat) {
+func (s *Service) onHeartbeat(from wire.Owner, heartbeat wire.Heartbeat) {
 	member, ok := s.members[from.Instance]
 	if ok && from.Incarnation < member.Owner.Incarnation {
 		return
@@ -95,8 +95,8 @@
 	}
 	member.LastHeartbeatAt = s.env.Now()
 	member.dead = false
-	if beat.Seq > member.Heartbeat.Seq {
-		member.Heartbeat = beat
+	if heartbeat.Seq > member.Heartbeat.Seq {
+		member.Heartbeat = heartbeat
 	}
 	if member.Coverage.Version < member.Heartbeat.Coverage {
 		s.env.Send(from.Instance, wire.FetchCoverage{})
@@ -112,8 +112,8 @@
 
 // OnTick sends heartbeats and declares members dead.
 func (s *Service) OnTick() {
-	if s.lastBeat == 0 || s.env.Now()-s.lastBeat >= s.env.Timing.Heartbeat {
-		s.lastBeat = s.env.Now()
+	if s.heartbeatsSentAt == 0 || s.env.Now()-s.heartbeatsSentAt >= s.env.Timing.Heartbeat {
+		s.heartbeatsSentAt = s.env.Now()
 		s.sendHeartbeats()
 	}
 	for _, id := range s.sortedMembers() {
@@ -125,13 +125,13 @@
 }
 
 func (s *Service) sendHeartbeats() {
-	s.beatSeq++
-	beat := wire.Heartbeat{Seq: s.beatSeq, Leaving: s.leaving, Reachable: s.reachable()}
+	s.heartbeatSeq++
+	heartbeat := wire.Heartbeat{Seq: s.heartbeatSeq, Leaving: s.leaving, Reachable: s.reachable()}
 	for _, c := range s.contributors {
-		c.FillHeartbeat(&beat)
+		c.FillHeartbeat(&heartbeat)
 	}
 	for _, id := range s.Peers() {
-		s.env.Send(id, beat)
+		s.env.Send(id, heartbeat)
 	}
 }
 
--- a/internal/service/ownership/ownership.go
+++ b/internal/service/ownership/ownership.go
@@ -98,11 +98,11 @@
 
 // reassign gives a shard a new owner if it is still at the term that the record
 // replaces. Terms only increase, because they are log offsets.
-func (s *Service) reassign(st wire.ShardTerm, to wire.Owner, offset uint64, planned bool) {
+func (s *Service) reassign(st wire.ShardTerm, to wire.Owner, offset uint64, handedOver bool) {
 	if int(st.Shard) >= len(s.table) || s.table[st.Shard].Term != st.Term {
 		return
 	}
-	s.setOwner(st.Shard, ShardOwner{Owner: to, Term: offset}, service.ShardMove{OldTerm: st.Term, HandedOver: planned})
+	s.setOwner(st.Shard, ShardOwner{Owner: to, Term: offset}, service.ShardMove{OldTerm: st.Term, HandedOver: handedOver})
 }
 
 // setOwner changes the entry of a shard and notifies the other services.
@@ -217,7 +217,7 @@
 	return entry, entry.Term != 0
 }
 
-// Mine returns the shard's term. It returns false when this instance does not own
+// OwnedTerm returns the shard's term. It returns false when this instance does not own
 // the shard.
 func (s *Service) OwnedTerm(shard model.Shard) (term uint64, ok bool) {
 	entry := s.table[shard]
@@ -235,7 +235,7 @@
 	return owned
 }
 
-// Reachable returns the number of shards whose owner is live.
+// ReachableShards returns the number of shards whose owner is live.
 func (s *Service) ReachableShards() int {
 	n := 0
 	for _, entry := range s.table {
@@ -249,10 +249,10 @@
 // Applied returns the offset of the last log entry applied.
 func (s *Service) Applied() uint64 { return s.applied }
 
-// Slots returns a copy of the table, indexed by shard.
+// ShardOwners returns a copy of the table, indexed by shard.
 func (s *Service) ShardOwners() [model.Shards]ShardOwner { return s.table }
 
-// FillBeat adds to a heartbeat how far this instance has applied the log.
+// FillHeartbeat adds to a heartbeat how far this instance has applied the log.
 func (s *Service) FillHeartbeat(b *wire.Heartbeat) {
 	b.Applied = s.applied
 	b.LogAge = s.env.Now() - s.logAt
--- a/internal/service/requests/dispatch.go
+++ b/internal/service/requests/dispatch.go
@@ -228,7 +228,7 @@
 		return nil
 	}
 	shard := model.ShardOfTask(base)
-	if _, mine := s.ownership.OwnedTerm(shard); !mine {
+	if _, owned := s.ownership.OwnedTerm(shard); !owned {
 		return nil
 	}
 	e := &entry{
--- a/internal/service/requests/expiry.go
+++ b/internal/service/requests/expiry.go
@@ -92,7 +92,7 @@
 // it without this instance's knowledge.
 func (s *Service) notStarted(e *entry, code verdict.Code, message string) model.Answer {
 	a := model.Refusal(e.id, verdict.Refuse(code, "%s", message).WithRetryAfter(retryAfter))
-	if _, mine := s.ownership.OwnedTerm(e.shard); e.run > 1 || !s.connected() || !mine || s.handover.Frozen(e.shard) {
+	if _, owned := s.ownership.OwnedTerm(e.shard); e.run > 1 || !s.connected() || !owned || s.handover.Frozen(e.shard) {
 		a.Verdict = verdict.MayHaveRun
 	}
 	return a
--- a/internal/service/requests/gang.go
+++ b/internal/service/requests/gang.go
@@ -52,20 +52,20 @@
 	if count > maxGangTasks {
 		return verdict.Refuse(verdict.CodeBadRequest, "a gang may have at most %d tasks", maxGangTasks)
 	}
-	roster := s.ledger.ListedWorkers()
+	listed := s.ledger.ListedWorkers()
 	var matching, fitting int64
-	for _, w := range roster {
+	for _, w := range listed {
 		if t.Require.Matches(w.Labels) {
 			matching++
 			fitting += maxFitting(t.Demand, w.Capacity)
 		}
 	}
-	if len(roster) == 0 || fitting >= int64(count) {
+	if len(listed) == 0 || fitting >= int64(count) {
 		return nil
 	}
 	return verdict.Refuse(verdict.CodeNeverFits,
 		"a gang of %d tasks never fits: %d of %d listed workers match, and empty they hold %d at once",
-		count, matching, len(roster), fitting)
+		count, matching, len(listed), fitting)
 }
 
 // maxFitting returns how many tasks with this demand fit into capacity, at most
--- a/internal/service/requests/ganghold.go
+++ b/internal/service/requests/ganghold.go
@@ -44,7 +44,7 @@
 // tryStartGang continues the current round of a waiting gang, or begins one.
 func (s *Service) tryStartGang(g *gang) {
 	now := s.env.Now()
-	if _, mine := s.ownership.OwnedTerm(g.shard); !mine || s.handover.Frozen(g.shard) {
+	if _, owned := s.ownership.OwnedTerm(g.shard); !owned || s.handover.Frozen(g.shard) {
 		s.releaseHolds(g)
 		return
 	}
--- a/internal/service/requests/jobtasks.go
+++ b/internal/service/requests/jobtasks.go
@@ -112,7 +112,7 @@
 	s.stop(e)
 }
 
-// Forget removes the entry of a job's finished task.
+// RemoveTask removes the entry of a job's finished task.
 func (s *Service) RemoveTask(id model.TaskID) {
 	if e, ok := s.entries[id]; ok && e.phase == phaseFinished {
 		delete(s.entries, id)
@@ -155,7 +155,7 @@
 	return body
 }
 
-// Why returns the Reason of the first waiting task among ids as JSON, or nil if none
+// ExplainWait returns the Reason of the first waiting task among ids as JSON, or nil if none
 // waits.
 func (s *Service) ExplainWait(ids []model.TaskID) []byte {
 	i := slices.IndexFunc(ids, func(id model.TaskID) bool {
--- a/internal/service/requests/locate.go
+++ b/internal/service/requests/locate.go
@@ -105,13 +105,13 @@
 }
 
 func (s *Service) coversAll(l *locate) bool {
-	roster := s.ledger.ListedWorkers()
-	for id := range roster {
+	listed := s.ledger.ListedWorkers()
+	for id := range listed {
 		if !l.covered[id] {
 			return false
 		}
 	}
-	return len(roster) > 0
+	return len(listed) > 0
 }
 
 // resolveUnseen handles a task that no worker has seen. A restarted worker may have
--- a/internal/service/requests/memory.go
+++ b/internal/service/requests/memory.go
@@ -22,7 +22,7 @@
 	receivedAt time.Duration
 }
 
-// Export returns the records of the shards' requests, with times as ages.
+// ExportRecords returns the records of the shards' requests, with times as ages.
 func (s *Service) ExportRecords(shards []wire.ShardTerm) ([]wire.ShardMemory, []wire.RequestMemory) {
 	var memory []wire.ShardMemory
 	wanted := make(map[model.Shard]bool, len(shards))
@@ -60,7 +60,7 @@
 	return m
 }
 
-// Remembered returns the number of a shard's requests recorded here.
+// RecordCount returns the number of a shard's requests recorded here.
 func (s *Service) RecordCount(shard model.Shard) int {
 	n := 0
 	for _, e := range s.entries {
@@ -71,7 +71,7 @@
 	return n
 }
 
-// Import keeps records received from a shard's owner until the log reports the
+// ImportRecords keeps records received from a shard's owner until the log reports the
 // handover of the shard.
 func (s *Service) ImportRecords(m wire.Memory) {
 	for _, shard := range m.Shards {
--- a/internal/service/requests/requests.go
+++ b/internal/service/requests/requests.go
@@ -28,7 +28,7 @@
 
 // Ownership returns the owners of shards.
 type Ownership interface {
-	// Mine returns the term of a shard that this instance owns.
+	// OwnedTerm returns the term of a shard that this instance owns.
 	OwnedTerm(model.Shard) (term uint64, ok bool)
 	Owner(model.Shard) (ownership.ShardOwner, bool)
 }
@@ -172,8 +172,8 @@
 func (s *Service) Serve(from wire.Owner, f wire.Forward) {
 	r := f.Request
 	shard := model.ShardOfRequest(f.Team, r.ID)
-	_, mine := s.ownership.OwnedTerm(shard)
-	if !mine || s.handover.Frozen(shard) {
+	_, owned := s.ownership.OwnedTerm(shard)
+	if !owned || s.handover.Frozen(shard) {
 		s.refuse(from, f, verdict.Refuse(verdict.CodeStaleAuthority, "the shard has another owner").WithRetryAfter(retryAfter))
 		return
 	}
@@ -290,11 +290,11 @@
 }
 
 func (s *Service) fitsListedWorker(t *model.Task) bool {
-	roster := s.ledger.ListedWorkers()
-	if len(roster) == 0 {
+	listed := s.ledger.ListedWorkers()
+	if len(listed) == 0 {
 		return true
 	}
-	for _, w := range roster {
+	for _, w := range listed {
 		if t.Demand.Fits(w.Capacity) && t.Require.Matches(w.Labels) {
 			return true
 		}
@@ -338,5 +338,5 @@
 // Waiting returns the number of a team's tasks that wait in the queue here.
 func (s *Service) Waiting(team model.TeamID) int64 { return int64(s.queue.Waiting(team)) }
 
-// Busy returns the number of requests here without a final answer.
+// OpenRequests returns the number of requests here without a final answer.
 func (s *Service) OpenRequests() int { return len(s.open) }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -71,9 +71,9 @@
 type ShardHandler interface{ OnShardMoved(m ShardMove) }
 
 // ShardMove describes a change of a shard's owner or term. Before.Instance is empty
-// for a shard that had no owner. Planned means that the previous owner handed over its
-// records. Gap means that changes in between were not observed, because the state was
-// restored from a snapshot.
+// for a shard that had no owner. HandedOver means that the previous owner handed over
+// its records. ChangesMissed means that changes in between were not observed, because
+// the state was restored from a snapshot.
 type ShardMove struct {
 	Shard         model.Shard
 	Before        wire.Owner
--- a/internal/service/snapshots/snapshots.go
+++ b/internal/service/snapshots/snapshots.go
@@ -73,7 +73,7 @@
 
 // OnTick appends a snapshot when one is due.
 func (s *Service) OnTick() {
-	if _, mine := s.ownership.OwnedTerm(writerShard); !mine || !s.due() || !s.ownership.CaughtUp() {
+	if _, owned := s.ownership.OwnedTerm(writerShard); !owned || !s.due() || !s.ownership.CaughtUp() {
 		return
 	}
 	s.appendedAt = s.env.Now()
@@ -92,7 +92,7 @@
 	return age >= maxInterval || since >= maxEntries || trimmed && retentionDivisor*since >= s.next-s.oldest
 }
 
-// Take returns the state of all services after the last applied entry. It must not
+// TakeSnapshot returns the state of all services after the last applied entry. It must not
 // be called while an entry is being applied.
 func (s *Service) TakeSnapshot() wire.Snapshot {
 	snap := wire.Snapshot{Applied: s.ownership.Applied()}
