--- a/internal/declare/state_test.go
+++ b/internal/declare/state_test.go
@@ -169,7 +169,7 @@
 	require.Equal(t, Accepted, s.Apply(3, change("c", 1, operator("new", hashB), old)).Outcome)
 }
 
-func TestAdoptOnlyNewer(t *testing.T) {
+func TestReplaceIfNewer(t *testing.T) {
 	old, recent := NewState(), NewState()
 	old.Apply(1, change("a", 0, teamDeclaration("north", 1)))
 	recent.Apply(1, change("a", 0, teamDeclaration("north", 1)))
--- a/internal/scenario/commands_test.go
+++ b/internal/scenario/commands_test.go
@@ -12,7 +12,7 @@
 // commands holds the commands that scripts have in addition to those of testscript.
 var commands = map[string]func(*state, *arguments) error{
 	"seed": func(s *state, a *arguments) error {
-		*s = *newState(uint64(a.number(a.word(0))), s.tamper)
+		*s = *newState(uint64(a.number(a.word(0))), s.newInjector)
 		return a.err
 	},
 	"instances": func(s *state, a *arguments) error {
--- a/internal/scenario/mutation_test.go
+++ b/internal/scenario/mutation_test.go
@@ -20,10 +20,10 @@
 
 // mutant is a fault planted into the cell and the promises that it breaks.
 type mutant struct {
-	name   string
-	script string             // the script that detects it
-	breaks []testcell.Promise // the check must report one of these
-	tamper func(*testcell.Cell) fault
+	name     string
+	script   string             // the script that detects it
+	breaks   []testcell.Promise // the check must report one of these
+	newFault func(*testcell.Cell) fault
 }
 
 // fault alters the events and actions of the cores and the starts that reach workers.
@@ -34,7 +34,7 @@
 	start  func(at model.WorkerID, r platform.StartRequest) platform.StartRequest
 }
 
-// Event implements testcell.Tamper.
+// Event implements testcell.FaultInjector.
 func (f fault) Event(at model.InstanceID, e event.Event) event.Event {
 	if f.event == nil {
 		return e
@@ -42,7 +42,7 @@
 	return f.event(at, e)
 }
 
-// Action implements testcell.Tamper.
+// Action implements testcell.FaultInjector.
 func (f fault) Action(at model.InstanceID, a event.Action) []event.Action {
 	if f.action == nil {
 		return []event.Action{a}
@@ -50,7 +50,7 @@
 	return f.action(at, a)
 }
 
-// Start implements testcell.Tamper.
+// Start implements testcell.FaultInjector.
 func (f fault) Start(at model.WorkerID, r platform.StartRequest) platform.StartRequest {
 	if f.start == nil {
 		return r
@@ -64,7 +64,7 @@
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
 			s := readScript(t, m.script)
-			plant := func(c *testcell.Cell) testcell.FaultInjector { return m.tamper(c) }
+			plant := func(c *testcell.Cell) testcell.FaultInjector { return m.newFault(c) }
 			err := s.failure(plant)
 			require.Contains(t, m.breaks, testcell.Promise(kindOf(err)), "%s does not detect this fault: %v", m.script, err)
 			t.Logf("detected by %s:\n%s%v", m.script, s, err)
@@ -90,7 +90,7 @@
 		name:   "a worker's lease is not checked",
 		script: "start_late_fenced_no_task_runs_twice",
 		breaks: []testcell.Promise{testcell.PromiseCapacity, testcell.PromiseSingleRun, testcell.PromiseAtMostOnce, testcell.PromiseLimit},
-		tamper: func(c *testcell.Cell) fault {
+		newFault: func(c *testcell.Cell) fault {
 			return fault{start: func(at model.WorkerID, r platform.StartRequest) platform.StartRequest {
 				if ref, held := c.LeaseOf(at); held {
 					r.Lease, r.Seq, r.WorkerIncarnation = ref, math.MaxUint64, 0
@@ -103,7 +103,7 @@
 		name:   "a full report's running tasks are ignored",
 		script: "instance_killed_takeover_counts_running_tasks",
 		breaks: []testcell.Promise{testcell.PromiseCapacity},
-		tamper: onEvent(func(_ model.InstanceID, e event.Event) event.Event {
+		newFault: onEvent(func(_ model.InstanceID, e event.Event) event.Event {
 			if d, ok := e.(event.RenewDone); ok && d.Full {
 				d.Reply.Running = nil
 				return d
@@ -115,7 +115,7 @@
 		name:   "a ceiling is granted twice",
 		script: "limit_holder_killed_team_within_limit",
 		breaks: []testcell.Promise{testcell.PromiseLimit},
-		tamper: onMessage(func(m wire.Message) wire.Message {
+		newFault: onMessage(func(m wire.Message) wire.Message {
 			if g, ok := m.(wire.Grant); ok {
 				g.Ceiling *= 2
 				return g
@@ -127,7 +127,7 @@
 		name:   "running tasks are forgotten",
 		script: "connection_cut_task_states_are_retold",
 		breaks: []testcell.Promise{testcell.PromiseSingleRun, testcell.PromiseAtMostOnce},
-		tamper: func(*testcell.Cell) fault {
+		newFault: func(*testcell.Cell) fault {
 			return fault{event: func(_ model.InstanceID, e event.Event) event.Event {
 				p, ok := e.(event.PeerMessage)
 				if !ok {
@@ -150,7 +150,7 @@
 		name:   "a withdrawal is not applied at one instance",
 		script: "key_withdrawn_refused_everywhere",
 		breaks: []testcell.Promise{testcell.PromiseKey, testcell.PromiseConfig},
-		tamper: onEvent(func(at model.InstanceID, e event.Event) event.Event {
+		newFault: onEvent(func(at model.InstanceID, e event.Event) event.Event {
 			if at != "entry-3" {
 				return e
 			}
@@ -174,7 +174,7 @@
 		name:   "a start is sent again under a new id",
 		script: "no_failure_every_call_is_done",
 		breaks: []testcell.Promise{testcell.PromiseSingleRun, testcell.PromiseAtMostOnce, testcell.PromiseCapacity},
-		tamper: onAction(func(a event.Action) []event.Action {
+		newFault: onAction(func(a event.Action) []event.Action {
 			s, ok := a.(event.Start)
 			if !ok {
 				return []event.Action{a}
@@ -188,7 +188,7 @@
 		name:   "an uncertain outcome is reported as not run",
 		script: "worker_restarted_not_repeated",
 		breaks: []testcell.Promise{testcell.PromiseNotRun},
-		tamper: onAnswer(func(a model.Answer) []model.Answer {
+		newFault: onAnswer(func(a model.Answer) []model.Answer {
 			if a.Verdict == verdict.MayHaveRun {
 				a.Verdict = verdict.NotRun
 			}
@@ -199,7 +199,7 @@
 		name:   "answers go to the wrong requests",
 		script: "no_failure_every_call_is_done",
 		breaks: []testcell.Promise{testcell.PromiseCompleteAnswer},
-		tamper: func(*testcell.Cell) fault {
+		newFault: func(*testcell.Cell) fault {
 			var last []byte
 			return onAnswer(func(a model.Answer) []model.Answer {
 				if a.Body != nil {
@@ -210,16 +210,16 @@
 		},
 	},
 	{
-		name:   "an answer is given twice",
-		script: "no_failure_every_call_is_done",
-		breaks: []testcell.Promise{testcell.PromiseAnswerInTime},
-		tamper: onAnswer(func(a model.Answer) []model.Answer { return []model.Answer{a, a} }),
+		name:     "an answer is given twice",
+		script:   "no_failure_every_call_is_done",
+		breaks:   []testcell.Promise{testcell.PromiseAnswerInTime},
+		newFault: onAnswer(func(a model.Answer) []model.Answer { return []model.Answer{a, a} }),
 	},
 	{
 		name:   "refusals at the deadline are lost",
 		script: "worker_unreachable_not_run_is_true",
 		breaks: []testcell.Promise{testcell.PromiseAnswerInTime},
-		tamper: onAnswer(func(a model.Answer) []model.Answer {
+		newFault: onAnswer(func(a model.Answer) []model.Answer {
 			if a.Code == verdict.CodeDeadline {
 				return nil
 			}
@@ -230,7 +230,7 @@
 		name:   "leaving marks in the worker list are ignored",
 		script: "leaving_worker_gets_no_new_work",
 		breaks: []testcell.Promise{testcell.PromiseLeaving},
-		tamper: onEvent(func(_ model.InstanceID, e event.Event) event.Event {
+		newFault: onEvent(func(_ model.InstanceID, e event.Event) event.Event {
 			l, ok := e.(event.Listed)
 			if !ok {
 				return e
@@ -246,7 +246,7 @@
 		name:   "truncated answers are treated as complete",
 		script: "worker_cuts_answers_none_is_passed_on",
 		breaks: []testcell.Promise{testcell.PromiseCompleteAnswer},
-		tamper: onEvent(func(_ model.InstanceID, e event.Event) event.Event {
+		newFault: onEvent(func(_ model.InstanceID, e event.Event) event.Event {
 			d, ok := e.(event.RenewDone)
 			if !ok {
 				return e
@@ -262,7 +262,7 @@
 		name:   "an unanswered start counts as not started",
 		script: "start_answer_lost_and_worker_restarted_not_repeated",
 		breaks: []testcell.Promise{testcell.PromiseSingleRun, testcell.PromiseAtMostOnce, testcell.PromiseCapacity, testcell.PromiseLimit, testcell.PromiseNotRun},
-		tamper: onEvent(func(_ model.InstanceID, e event.Event) event.Event {
+		newFault: onEvent(func(_ model.InstanceID, e event.Event) event.Event {
 			if d, ok := e.(event.StartDone); ok && d.Verdict == verdict.MayHaveRun {
 				d.Verdict = verdict.NotRun
 				return d
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -58,18 +58,18 @@
 
 // state is the state of one script: its cell and its calls by name.
 type state struct {
-	cell   *testcell.Cell
-	calls  map[string]*testcell.Call
-	tamper tamperFunc
+	cell        *testcell.Cell
+	calls       map[string]*testcell.Call
+	newInjector injectorFunc
 }
 
-// tamperFunc returns the fault to plant into a cell. A nil function plants none.
-type tamperFunc func(*testcell.Cell) testcell.FaultInjector
+// injectorFunc returns the fault to plant into a cell. A nil function plants none.
+type injectorFunc func(*testcell.Cell) testcell.FaultInjector
 
-func newState(seed uint64, tamper tamperFunc) *state {
-	s := &state{cell: testcell.New(testcell.Options{Seed: seed}), calls: make(map[string]*testcell.Call), tamper: tamper}
-	if tamper != nil {
-		s.cell.SetFaultInjector(tamper(s.cell))
+func newState(seed uint64, newInjector injectorFunc) *state {
+	s := &state{cell: testcell.New(testcell.Options{Seed: seed}), calls: make(map[string]*testcell.Call), newInjector: newInjector}
+	if newInjector != nil {
+		s.cell.SetFaultInjector(newInjector(s.cell))
 	}
 	return s
 }
--- a/internal/scenario/schedule_test.go
+++ b/internal/scenario/schedule_test.go
@@ -24,8 +24,8 @@
 
 // run runs a schedule. It returns a failureError for a broken promise or an unmet
 // expectation; any other error means that the schedule itself is invalid.
-func (s schedule) run(tamper tamperFunc) error {
-	st := newState(scenarioSeed, tamper)
+func (s schedule) run(newInjector injectorFunc) error {
+	st := newState(scenarioSeed, newInjector)
 	for _, line := range s {
 		words := strings.Fields(line)
 		command, ok := commands[words[0]]
@@ -40,8 +40,8 @@
 }
 
 // failure runs a schedule and returns its failureError, or nil for any other outcome.
-func (s schedule) failure(tamper tamperFunc) error {
-	err := s.run(tamper)
+func (s schedule) failure(newInjector injectorFunc) error {
+	err := s.run(newInjector)
 	if kindOf(err) == "" {
 		return nil
 	}
@@ -50,10 +50,10 @@
 
 // shrink removes lines between the start and the recovery for as long as the schedule
 // still fails in the same way.
-func (s schedule) shrink(tamper tamperFunc) schedule {
-	want := kindOf(s.failure(tamper))
+func (s schedule) shrink(newInjector injectorFunc) schedule {
+	want := kindOf(s.failure(newInjector))
 	for size := len(s) / 2; size > 0; {
-		shorter := s.removeLines(size, want, tamper)
+		shorter := s.removeLines(size, want, newInjector)
 		if len(shorter) == len(s) {
 			size /= 2
 		}
@@ -64,10 +64,10 @@
 
 // removeLines removes each group of size lines without which the failure is still of
 // kind want.
-func (s schedule) removeLines(size int, want string, tamper tamperFunc) schedule {
+func (s schedule) removeLines(size int, want string, newInjector injectorFunc) schedule {
 	for i := slices.Index(s, "start") + 1; i+size <= len(s)-recoveryLines; {
 		shorter := slices.Concat(s[:i], s[i+size:])
-		if kindOf(shorter.failure(tamper)) == want {
+		if kindOf(shorter.failure(newInjector)) == want {
 			s = shorter
 		} else {
 			i += size
--- a/internal/standin/worker_faults.go
+++ b/internal/standin/worker_faults.go
@@ -3,7 +3,7 @@
 import "time"
 
 // WorkerFaults are the injected faults of one worker. WorkerCore applies
-// FailEverything, CutAnswer and ReportDelay, and does not advance while Paused.
+// FailAllTasks, TruncateAnswers and ReportDelay, and does not advance while Paused.
 // Workers applies the others, and queues commands while Paused.
 type WorkerFaults struct {
 	// FailAllTasks makes every task that starts fail after failedRunTime.
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -16,7 +16,7 @@
 	checkpointDuration = 100 * time.Millisecond
 	// throttleMultiplier multiplies the remaining run time of a throttled task.
 	throttleMultiplier = 2
-	// failedRunTime is the run time of a task on a worker with FailEverything.
+	// failedRunTime is the run time of a task on a worker with FailAllTasks.
 	failedRunTime = time.Millisecond
 )
 
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -108,7 +108,7 @@
 
 // deliver runs command on the worker's core and waits until it has run or ctx is
 // done. A paused worker runs it when it resumes, even if ctx is done by then; a
-// worker with the Silent fault never runs it.
+// worker with the Unresponsive fault never runs it.
 func (s *Workers) deliver(ctx context.Context, id model.WorkerID, command func(time.Time, *WorkerCore)) error {
 	wr := s.runner(id)
 	if wr == nil {
--- a/internal/testcell/cell.go
+++ b/internal/testcell/cell.go
@@ -50,7 +50,7 @@
 // It is not safe for concurrent use.
 type Cell struct {
 	options    Options
-	tamper     FaultInjector
+	injector   FaultInjector
 	rng        *rand.Rand
 	now        time.Duration
 	timers     timerQueue
--- a/internal/testcell/tamper.go
+++ b/internal/testcell/fault_injector.go
@@ -21,30 +21,30 @@
 }
 
 // SetFaultInjector injects a fault, to test that Check detects it.
-func (c *Cell) SetFaultInjector(t FaultInjector) { c.tamper = t }
+func (c *Cell) SetFaultInjector(f FaultInjector) { c.injector = f }
 
 // LeaseOf returns the lease in force at a worker; ok is false when there is none.
 func (c *Cell) LeaseOf(id model.WorkerID) (ref platform.LeaseRef, ok bool) {
 	return c.workers[id].core.Lease(c.wallTime())
 }
 
-func (c *Cell) tamperEvent(in *instance, e event.Event) event.Event {
-	if c.tamper == nil {
+func (c *Cell) injectEvent(in *instance, e event.Event) event.Event {
+	if c.injector == nil {
 		return e
 	}
-	return c.tamper.Event(in.info.ID, e)
+	return c.injector.Event(in.info.ID, e)
 }
 
-func (c *Cell) tamperAction(in *instance, a event.Action) []event.Action {
-	if c.tamper == nil {
+func (c *Cell) injectAction(in *instance, a event.Action) []event.Action {
+	if c.injector == nil {
 		return []event.Action{a}
 	}
-	return c.tamper.Action(in.info.ID, a)
+	return c.injector.Action(in.info.ID, a)
 }
 
-func (w *worker) tamperStart(r platform.StartRequest) platform.StartRequest {
-	if w.cell.tamper == nil {
+func (w *worker) injectStart(r platform.StartRequest) platform.StartRequest {
+	if w.cell.injector == nil {
 		return r
 	}
-	return w.cell.tamper.Start(w.core.Worker().ID, r)
+	return w.cell.injector.Start(w.core.Worker().ID, r)
 }
--- a/internal/testcell/instance.go
+++ b/internal/testcell/instance.go
@@ -96,9 +96,9 @@
 }
 
 func (in *instance) step(e event.Event) {
-	actions := in.core.Step(in.clockTime(), in.cell.tamperEvent(in, e))
+	actions := in.core.Step(in.clockTime(), in.cell.injectEvent(in, e))
 	for _, a := range actions {
-		for _, b := range in.cell.tamperAction(in, a) {
+		for _, b := range in.cell.injectAction(in, a) {
 			in.execute(b)
 		}
 	}
@@ -180,7 +180,7 @@
 	}
 }
 
-// Pause suspends an instance, as SIGSTOP does. Deliveries wait until Wake.
+// Pause suspends an instance, as SIGSTOP does. Deliveries wait until Resume.
 func (c *Cell) Pause(id model.InstanceID) {
 	in := c.instances[id]
 	if !in.running() {
@@ -214,18 +214,18 @@
 	c.instances[id].deliverEvent(0, event.DrainStarted{})
 }
 
-// Drained reports whether an instance has no open callers and no busy requests.
+// Drained reports whether an instance has no open callers and no open requests.
 func (c *Cell) Drained(id model.InstanceID) bool {
 	k := c.instances[id].core.Kernel()
 	open, err := kernel.Find[interface{ Open() int }](k, service.Gateway)
 	if err != nil {
 		panic(err)
 	}
-	busy, err := kernel.Find[interface{ OpenRequests() int }](k, service.Requests)
+	requests, err := kernel.Find[interface{ OpenRequests() int }](k, service.Requests)
 	if err != nil {
 		panic(err)
 	}
-	return open.Open() == 0 && busy.OpenRequests() == 0
+	return open.Open() == 0 && requests.OpenRequests() == 0
 }
 
 // appendNext appends the pending records of an instance as one entry, unless an
--- a/internal/testcell/network.go
+++ b/internal/testcell/network.go
@@ -158,15 +158,17 @@
 	l.owners[l.pair.a], l.owners[l.pair.b] = a.owner(), b.owner()
 }
 
-// Partition partitions the network between two instances until Heal.
+// Partition partitions the network between two instances until EndPartition or
+// EndPartitions.
 func (c *Cell) Partition(a, b model.InstanceID) {
 	l := c.linkBetween(a, b)
 	l.partitioned = true
 	c.disconnectLater(l, c.randomDuration(c.options.Timing.DeadAfter/2, c.options.Timing.DeadAfter))
 }
 
-// BlackholeConnection makes the current connection of two instances drop every message. The
-// instances detect this after a while and start a new connection, which works.
+// BlackholeConnection makes the current connection of two instances drop every
+// message. The instances detect this after a while and start a new connection, which
+// works.
 func (c *Cell) BlackholeConnection(a, b model.InstanceID) {
 	l := c.linkBetween(a, b)
 	l.blackholed = l.up
@@ -202,5 +204,5 @@
 	}
 }
 
-// PartitionFromLog makes the log unreachable from an instance until Heal.
+// PartitionFromLog makes the log unreachable from an instance until EndPartitions.
 func (c *Cell) PartitionFromLog(id model.InstanceID) { c.logUnreachable[id] = true }
--- a/internal/testcell/worker.go
+++ b/internal/testcell/worker.go
@@ -68,7 +68,7 @@
 // SetRenewalLoss sets whether the answers of a worker's renewals are lost.
 func (c *Cell) SetRenewalLoss(id model.WorkerID, lose bool) { c.workers[id].loseRenewals = lose }
 
-// PartitionFromWorker makes a worker unreachable from an instance until Heal.
+// PartitionFromWorker makes a worker unreachable from an instance until EndPartitions.
 func (c *Cell) PartitionFromWorker(in model.InstanceID, id model.WorkerID) {
 	c.workers[id].unreachableFrom[in] = true
 }
@@ -215,7 +215,7 @@
 		return func() { in.step(e) }
 	}
 	c.command(in, a.Worker.ID, callTimeout, func(w *worker, complete func(func())) {
-		err := w.core.Start(c.wallTime(), w.tamperStart(a.Request))
+		err := w.core.Start(c.wallTime(), w.injectStart(a.Request))
 		if w.core.Faults().LoseStartAnswer {
 			err = standin.ErrAnswerLost
 		}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -58,8 +58,8 @@
 	// To is the incarnation of the receiver for which the grant is meant; a later one
 	// has its own account.
 	To model.Incarnation `cbor:"7,keyasint" json:"to"`
-	// HeartbeatSeq is the sequence number of the heartbeat of the receiver on which the grant is
-	// based.
+	// HeartbeatSeq is the sequence number of the receiver's heartbeat on which the
+	// grant is based.
 	HeartbeatSeq uint64 `cbor:"5,keyasint,omitempty" json:"beat,omitempty"`
 }
 
@@ -127,8 +127,9 @@
 }
 
 // Located answers a Locate with the tasks that were seen, and the workers for which
-// it is certain that no others were. Young lists the covered workers that restarted
-// within the age in question: they may have run a task and lost their record of it.
+// it is certain that no others were. Restarted lists the covered workers that
+// restarted within the age in question: they may have run a task and lost their
+// record of it.
 type Located struct {
 	ID        uint64           `cbor:"1,keyasint" json:"id"`
 	Seen      []TaskState      `cbor:"2,keyasint,omitempty" json:"seen,omitempty"`
@@ -192,8 +193,8 @@
 }
 
 // RequestMemory is a request as its coordinator remembers it. Ages are measured back
-// from the time of sending. Holder is the lease holder to which the task was last
-// dispatched.
+// from the time of sending. LeaseHolder is the one to which the task was
+// last dispatched.
 type RequestMemory struct {
 	ID          string         `cbor:"1,keyasint" json:"id"`
 	Task        model.Task     `cbor:"2,keyasint" json:"task"`
