--- a/internal/cell/engine/advising.go
+++ b/internal/cell/engine/advising.go
@@ -50,7 +50,7 @@
 // delegate is an instance that can call the adviser.
 type delegate struct {
 	name string
-	advice.Arm
+	advice.Delegate
 }
 
 // ticket returns the ticket of s for a worker, or the zero ticket if none is needed.
@@ -159,18 +159,18 @@
 // callAdviser has a delegate call the adviser about workers for s. It reports whether a
 // delegate could take the call.
 func (e *Engine) callAdviser(s *stepRun, q *policy.Queue, ask []*worker) bool {
-	cost := q.Advice.Of(len(ask))
+	cost := q.Advice.CallDuration(len(ask))
 	chosen := e.chooseDelegate(cost)
 	if chosen == nil {
 		return false
 	}
-	chosen.Take(e.now, cost)
+	chosen.CallSent(e.now, cost)
 	s.advice.callsInFlight++
 	names := make([]string, len(ask))
 	for i, w := range ask {
 		names[i] = w.id
 	}
-	e.emit(&Ask{Arm: chosen.name, Step: s.name, Workers: names, Cost: cost, step: s, sentAt: e.now})
+	e.emit(&AdviceCall{Delegate: chosen.name, Step: s.name, Workers: names, Cost: cost, step: s, sentAt: e.now})
 	return true
 }
 
@@ -185,7 +185,7 @@
 	// valid when the call for the missing ones returns.
 	validUntil := e.now
 	if s.spec.Gang {
-		validUntil = validUntil.Add(q.Advice.Of(min(need, maxWorkersPerCall)))
+		validUntil = validUntil.Add(q.Advice.CallDuration(min(need, maxWorkersPerCall)))
 	}
 	validTasks, expiredTasks, expiredWorkers := e.ticketCapacity(s, validUntil)
 	if validTasks+expiredTasks >= need || !s.spec.Gang && expiredTasks > 0 {
@@ -266,7 +266,7 @@
 // expected to include enough good ones. Steps that cannot wait for an answer later also
 // ask about workers whose capacity is in use.
 func (e *Engine) rankForAdvice(s *stepRun, q *policy.Queue, unasked []*worker) []*worker {
-	ahead := s.spec.Gang || q.Priority == 0 || q.Advice.Base >= advice.LongCall
+	ahead := s.spec.Gang || q.Priority == 0 || q.Advice.Base >= advice.LongCallThreshold
 	score := make(map[*worker]float64, len(unasked))
 	ranked := unasked[:0]
 	for _, w := range unasked {
@@ -313,9 +313,9 @@
 // chooseDelegate returns the delegate for a call of the given cost, or nil if none can
 // take it.
 func (e *Engine) chooseDelegate(cost time.Duration) *delegate {
-	loads := make([]*advice.Arm, len(e.delegates))
+	loads := make([]*advice.Delegate, len(e.delegates))
 	for i, d := range e.delegates {
-		loads[i] = &d.Arm
+		loads[i] = &d.Delegate
 	}
 	i := advice.Choose(loads, e.now, cost)
 	if i < 0 {
@@ -327,23 +327,23 @@
 // adviceRetryDelay is the delay after a failed call to the adviser.
 const adviceRetryDelay = 30 * time.Millisecond
 
-// advised applies the outcome of a call to the adviser.
-func (e *Engine) advised(ev *Advised) {
-	s := ev.Ask.step
+// adviceAnswered applies the outcome of a call to the adviser.
+func (e *Engine) adviceAnswered(ev *AdviceAnswered) {
+	s := ev.Call.step
 	s.advice.callsInFlight--
 	e.needsPlacement = true
 	for _, d := range e.delegates {
-		if d.name == ev.Ask.Arm {
-			d.Done(e.now, ev.Ask.Cost, ev.OK)
+		if d.name == ev.Call.Delegate {
+			d.CallEnded(e.now, ev.Call.Cost, ev.OK)
 		}
 	}
 	if !ev.OK {
 		s.advice.retryAt = e.now.Add(adviceRetryDelay)
-		e.log.Warn("adviser call failed", "step", s.name, "job", s.ref.Job, "arm", ev.Ask.Arm, "workers", len(ev.Ask.Workers), "after_ms", e.msSince(ev.Ask.sentAt))
+		e.log.Warn("adviser call failed", "step", s.name, "job", s.ref.Job, "arm", ev.Call.Delegate, "workers", len(ev.Call.Workers), "after_ms", e.msSince(ev.Call.sentAt))
 		return
 	}
 	unasked := 0
-	for _, id := range ev.Ask.Workers {
+	for _, id := range ev.Call.Workers {
 		w := e.workers[id]
 		if w == nil {
 			continue
@@ -356,13 +356,13 @@
 			s.markGood(id, ticket{value: t, incarnation: w.incarnation, validUntil: e.now.Add(ev.TTL)})
 		}
 	}
-	if unasked > 0 && s.waiting > 0 && ev.Ask.Cost >= advice.LongCall {
+	if unasked > 0 && s.waiting > 0 && ev.Call.Cost >= advice.LongCallThreshold {
 		e.markDirty(s) // spares the next leader a repeat of this call
 	}
-	if unasked == len(ev.Ask.Workers) && unasked > 0 {
+	if unasked == len(ev.Call.Workers) && unasked > 0 {
 		e.updateGoodShare(s.job().queue, float64(len(ev.Good))/float64(unasked))
 	}
-	e.log.Debug("adviser call done", "step", s.name, "arm", ev.Ask.Arm, "asked", len(ev.Ask.Workers), "good", len(ev.Good), "after_ms", e.msSince(ev.Ask.sentAt))
+	e.log.Debug("adviser call done", "step", s.name, "arm", ev.Call.Delegate, "asked", len(ev.Call.Workers), "good", len(ev.Good), "after_ms", e.msSince(ev.Call.sentAt))
 }
 
 // goodShareWeight is the weight of one answer in the smoothed share of good workers.
--- a/internal/cell/engine/backlog.go
+++ b/internal/cell/engine/backlog.go
@@ -91,7 +91,7 @@
 		if q == nil || !s.open() || s.job().overEntitlement {
 			continue
 		}
-		if ordering.BandOf(e.orderingStep(s), e.now) != ordering.InTime {
+		if ordering.TimelinessOf(e.orderingStep(s), e.now) != ordering.InTime {
 			continue // steps that can still end in time are placed before it
 		}
 		d := e.demandAt(q.Priority)
@@ -105,10 +105,10 @@
 
 // loadFor returns the present load for a job of q that starts with tasks of first.
 //
-// Load.Open is the capacity that these tasks fit into now and that would stay unused
-// without them. Steps that a placement round tried and left waiting could not use it, for
-// lack of advice or of resources for a whole gang, so only the CPU of untried steps is
-// subtracted.
+// Load.BackfillCores is the capacity that these tasks fit into now and that would
+// stay unused without them. Steps that a placement round tried and left waiting
+// could not use it, for lack of advice or of resources for a whole gang, so only the
+// CPU of untried steps is subtracted.
 func (e *Engine) loadFor(q *policy.Queue, first *job.Step) admission.Load {
 	e.measureDemand()
 	load := admission.Load{}
@@ -125,18 +125,18 @@
 			fits += charge.CountIn(w.free(), first.Count)
 		}
 	}
-	load.Open = float64(fits) * float64(charge.CPU) / 1000
+	load.BackfillCores = float64(fits) * float64(charge.CPU) / 1000
 	if q.Advice != nil {
-		load.Open *= e.goodShare(q.Name)
+		load.BackfillCores *= e.goodShare(q.Name)
 	}
 	for priority, d := range e.demands {
 		if priority <= q.Priority {
-			load.Waiting += float64(d.waitingCPU) / 1000
-			load.Ahead += d.waitingWork
-			load.Open -= float64(d.untriedCPU) / 1000
+			load.WaitingCores += float64(d.waitingCPU) / 1000
+			load.WaitingCoreSeconds += d.waitingWork
+			load.BackfillCores -= float64(d.untriedCPU) / 1000
 		}
 		if priority < q.Priority {
-			load.Higher += d.rate(e.now)
+			load.HigherPriorityCores += d.rate(e.now)
 		}
 	}
 	return load
--- a/internal/cell/engine/jobs.go
+++ b/internal/cell/engine/jobs.go
@@ -268,13 +268,13 @@
 	return false
 }
 
-// dropExpiredJobs drops jobs that ended more than KeepEnded ago, from the store as
-// well, and forgets old stop commands for unknown runs.
+// dropExpiredJobs drops jobs that ended more than EndedJobRetention ago, from the
+// store as well, and forgets old stop commands for unknown runs.
 func (e *Engine) dropExpiredJobs() {
 	n := 0
 	wall := e.wall()
 	for _, j := range e.endedJobs {
-		if wall-j.endedAt < e.cfg.KeepEnded.Milliseconds() {
+		if wall-j.endedAt < e.cfg.EndedJobRetention.Milliseconds() {
 			break
 		}
 		delete(e.jobs, j.id)
--- a/internal/cell/node/ports.go
+++ b/internal/cell/node/ports.go
@@ -30,8 +30,8 @@
 	ErrConflict = errors.New("another write came first")
 	// ErrFenced means that a later term has begun.
 	ErrFenced = errors.New("a later term has begun")
-	// ErrNotDone means that the call had no effect.
-	ErrNotDone = errors.New("the call had no effect")
+	// ErrNoEffect means that the call had no effect.
+	ErrNoEffect = errors.New("the call had no effect")
 )
 
 // Store stores durably the leadership record and the state of the cell.
@@ -47,7 +47,7 @@
 	Fence(ctx context.Context, term int64) error
 	// Append stores all of the records or none. Repeating it with the same term and
 	// sequence number has no further effect. Its errors may be marked ErrFenced or
-	// ErrNotDone.
+	// ErrNoEffect.
 	Append(ctx context.Context, term, sequence int64, records []record.Record) error
 	// Load calls f with the newest record of every key.
 	Load(ctx context.Context, f func(record.Record)) error
@@ -57,7 +57,7 @@
 type Directory interface {
 	// Poll returns the whole list. changed is false if the list is the same as at the
 	// previous poll, which may have been made in an earlier term of this instance.
-	Poll(ctx context.Context) (list []engine.Listed, changed bool, err error)
+	Poll(ctx context.Context) (list []engine.WorkerInfo, changed bool, err error)
 }
 
 // Workers sends commands and renewals to workers. The results report what is known of
@@ -65,7 +65,7 @@
 type Workers interface {
 	Start(ctx context.Context, fence int64, command *engine.Start) *engine.StartAnswered
 	Stop(ctx context.Context, fence int64, command *engine.Stop) *engine.StopAnswered
-	Look(ctx context.Context, fence int64, renewal *engine.Look) *engine.Looked
+	Renew(ctx context.Context, fence int64, renewal *engine.Renew) *engine.RenewalAnswered
 }
 
 // Adviser is asked which workers may run a step.
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -31,8 +31,8 @@
 	owners   ownerProbe
 	ledger   ledgerProbe
 	open     interface{ Open() int }
-	busy     interface{ Busy() int }
-	handover interface{ Settled() bool }
+	requests interface{ OpenRequests() int }
+	handover interface{ Drained() bool }
 }
 
 type configProbe interface {
@@ -41,13 +41,13 @@
 }
 
 type ownerProbe interface {
-	Reachable() int
+	ReachableShards() int
 	Owned() []wire.ShardTerm
 	Applied() uint64
 }
 
 type ledgerProbe interface {
-	Holding() []model.WorkerID
+	HeldWorkers() []model.WorkerID
 	Coverage() wire.Coverage
 	Free() model.Resources
 }
@@ -62,10 +62,10 @@
 	if p.ledger, err = kernel.Find[ledgerProbe](k, service.Ledger); err != nil {
 		return p, err
 	}
-	if p.busy, err = kernel.Find[interface{ Busy() int }](k, service.Requests); err != nil {
+	if p.requests, err = kernel.Find[interface{ OpenRequests() int }](k, service.Requests); err != nil {
 		return p, err
 	}
-	if p.handover, err = kernel.Find[interface{ Settled() bool }](k, service.Handover); err != nil {
+	if p.handover, err = kernel.Find[interface{ Drained() bool }](k, service.Handover); err != nil {
 		return p, err
 	}
 	p.open, err = kernel.Find[interface{ Open() int }](k, service.Gateway)
@@ -79,13 +79,13 @@
 		v.Ready, v.Reason = false, "draining"
 	case !p.config.Fresh():
 		v.Ready, v.Reason = false, "neither the log nor enough peers were heard lately"
-	case 2*p.owners.Reachable() < model.Shards:
+	case 2*p.owners.ReachableShards() < model.Shards:
 		v.Ready, v.Reason = false, "most shards have no reachable owner"
 	}
-	v.WaitingCallers, v.OpenRequests = p.open.Open(), p.busy.Busy()
+	v.WaitingCallers, v.OpenRequests = p.open.Open(), p.requests.OpenRequests()
 	v.OwnedShards, v.AppliedOffset = len(p.owners.Owned()), p.owners.Applied()
-	v.HeldWorkers, v.LeasedWorkers, v.Free = len(p.ledger.Holding()), len(p.ledger.Coverage().Workers), p.ledger.Free()
+	v.HeldWorkers, v.LeasedWorkers, v.Free = len(p.ledger.HeldWorkers()), len(p.ledger.Coverage().Workers), p.ledger.Free()
 	v.ConfigVersion = p.config.Version()
-	v.Drained = v.WaitingCallers == 0 && v.OpenRequests == 0 && p.handover.Settled()
+	v.Drained = v.WaitingCallers == 0 && v.OpenRequests == 0 && p.handover.Drained()
 	return v
 }
--- a/internal/scheduler/experiment_test.go
+++ b/internal/scheduler/experiment_test.go
@@ -75,7 +75,7 @@
 	s            *Scheduler
 	q            *queue.Queue
 	planner      *preempt.Planner
-	keeper       *quarantine.Keeper
+	tracker      *quarantine.Tracker
 	estimator    *estimates.Estimator
 	accounts     *shares.Accounts // by the actual team, also when the queue has one team only
 	w            *workload
@@ -120,7 +120,7 @@
 		pending:      make(map[model.TeamID]model.Resources),
 		started:      func(*model.Task, time.Duration) {},
 	}
-	x.keeper = quarantine.New(x.s.Fleet)
+	x.tracker = quarantine.New(x.s.Fleet)
 	for i, w := range benchWorkers(o.workers) {
 		w.Capacity.Accelerators = 0
 		x.s.Fleet.Upsert(w)
@@ -131,7 +131,7 @@
 	x.q.SetCapacity(x.s.Fleet.Capacity())
 	x.accounts.SetCapacity(x.s.Fleet.Capacity())
 	for i := range benchTeams {
-		x.q.SetShare(teamName(i), weightOf(i))
+		x.q.SetWeight(teamName(i), weightOf(i))
 		x.accounts.SetWeight(teamName(i), weightOf(i))
 	}
 	return x
@@ -208,7 +208,7 @@
 		x.unpark(id)
 	}
 	if x.quarantine {
-		x.keeper.Tick(x.now)
+		x.tracker.Tick(x.now)
 	}
 	x.decide()
 }
@@ -245,12 +245,12 @@
 func (x *experiment) tryPreempt(t *model.Task) bool {
 	switch {
 	case t.Class == model.ClassUrgent:
-		return x.preempt(t, preempt.ForUrgent)
+		return x.preempt(t, preempt.EligibleForUrgent)
 	case !x.belowTarget(t):
 		return false
 	case x.reclaim && x.reclaims < maxReclaimsPerTick && x.now >= x.retryAt[t.Team]:
 		x.reclaims++
-		if x.preempt(t, preempt.ForShare(x.accounts, x.targets)) {
+		if x.preempt(t, preempt.EligibleForShare(x.accounts, x.targets)) {
 			return true
 		}
 		x.retryAt[t.Team] = x.now + preemptRetryDelay
@@ -337,6 +337,6 @@
 		x.estimator.Observe(&again, model.Outcome{Ran: known.runTime, Usage: known.usage})
 	}
 	if x.quarantine && !e.stop {
-		x.keeper.Observe(x.now, a.Node.Worker.ID, a.Task, failed)
+		x.tracker.Observe(x.now, a.Node.Worker.ID, a.Task, failed)
 	}
 }
--- a/internal/service/config/config.go
+++ b/internal/service/config/config.go
@@ -111,9 +111,9 @@
 	}
 }
 
-func (s *Service) onHeartbeat(from wire.Owner, beat wire.Heartbeat) {
+func (s *Service) onHeartbeat(from wire.Owner, heartbeat wire.Heartbeat) {
 	s.peers[from.Instance] = peerView{
-		applied: beat.Applied, reachedAt: s.env.Now() - beat.LogAge, receivedAt: s.env.Now(),
+		applied: heartbeat.Applied, reachedAt: s.env.Now() - heartbeat.LogAge, receivedAt: s.env.Now(),
 	}
 }
 
@@ -198,7 +198,7 @@
 	if !waiting || d.Verdict != verdict.NotRun {
 		return
 	}
-	s.answerChange(id, p, model.Refusal(id, verdict.Refuse(verdict.CodeUnavailable, "the log does not take changes now").After(retryAfter)))
+	s.answerChange(id, p, model.Refusal(id, verdict.Refuse(verdict.CodeUnavailable, "the log does not take changes now").WithRetryAfter(retryAfter)))
 }
 
 // OnTick answers changes that were not read back before their deadline.
@@ -279,7 +279,7 @@
 	if ok {
 		return "", verdict.Refuse(verdict.CodeForbidden, "key %q is not an operator's key", key.Name)
 	}
-	if !s.state.HasOperator() && s.Fresh() {
+	if !s.state.HasOperatorKey() && s.Fresh() {
 		return "bootstrap", nil
 	}
 	return "", verdict.Refuse(verdict.CodeUnauthorized, "the key is not known or was withdrawn")
--- a/internal/service/jobs/jobs.go
+++ b/internal/service/jobs/jobs.go
@@ -18,7 +18,7 @@
 
 // Ownership provides the shards that this instance owns.
 type Ownership interface {
-	Mine(model.Shard) (term uint64, ok bool)
+	OwnedTerm(model.Shard) (term uint64, ok bool)
 }
 
 // Tasks runs the tasks of jobs.
@@ -28,12 +28,12 @@
 	AddTask(job model.Job, index int, check bool)
 	// CancelTask cancels a task of a job.
 	CancelTask(id model.TaskID)
-	// Forget removes an ended task.
-	Forget(id model.TaskID)
+	// RemoveTask removes an ended task.
+	RemoveTask(id model.TaskID)
 	// Reply sends a caller its answer.
 	Reply(c requests.Caller, a model.Answer)
-	// Why returns, as JSON, why the first waiting task of ids waits.
-	Why(ids []model.TaskID) []byte
+	// ExplainWait returns, as JSON, why the first waiting task of ids waits.
+	ExplainWait(ids []model.TaskID) []byte
 	// Phases counts the tasks of ids that wait and those that run.
 	Phases(ids []model.TaskID) (waiting, running int)
 }
@@ -154,7 +154,7 @@
 		j = &job{spec: spec, done: make(map[int]bool)}
 		s.jobs[k] = j
 		s.order = append(s.order, k)
-		if _, mine := s.ownership.Mine(k.shard()); mine {
+		if _, owned := s.ownership.OwnedTerm(k.shard()); owned {
 			s.addTasks(j, false)
 		}
 	}
@@ -199,7 +199,7 @@
 	if !success {
 		j.failed++
 	}
-	s.tasks.Forget(taskOf(j.spec, index))
+	s.tasks.RemoveTask(taskOf(j.spec, index))
 }
 
 func taskOf(spec model.Job, index int) model.TaskID {
@@ -218,7 +218,7 @@
 			s.tasks.Reply(c, s.statusAnswer(k, j))
 		}
 	}
-	if _, mine := s.ownership.Mine(k.shard()); mine {
+	if _, owned := s.ownership.OwnedTerm(k.shard()); owned {
 		s.cancelTasks(j)
 	}
 }
@@ -263,7 +263,7 @@
 func (s *Service) expireSubmissions(now time.Duration) {
 	for _, k := range sortedKeys(s.submissions) {
 		if now >= s.submissions[k].deadline {
-			e := verdict.Refuse(verdict.CodeInDoubt, "the job may be in the log; submit it again with the same id").After(retryAfter)
+			e := verdict.Refuse(verdict.CodeInDoubt, "the job may be in the log; submit it again with the same id").WithRetryAfter(retryAfter)
 			e.Verdict = verdict.MayHaveRun
 			s.refuse(k, e)
 		}
--- a/internal/service/jobs/snapshot.go
+++ b/internal/service/jobs/snapshot.go
@@ -75,7 +75,7 @@
 func (s *Service) dropJob(k key) {
 	j := s.jobs[k]
 	for i := range j.spec.Count {
-		s.tasks.Forget(taskOf(j.spec, i))
+		s.tasks.RemoveTask(taskOf(j.spec, i))
 	}
 	delete(s.jobs, k)
 }
@@ -98,7 +98,7 @@
 	if len(j.done) == j.spec.Count && j.endedAt == 0 {
 		j.endedAt = max(s.env.Now(), 1)
 	}
-	if _, mine := s.ownership.Mine(k.shard()); mine && !known && j.endedAt == 0 {
+	if _, owned := s.ownership.OwnedTerm(k.shard()); owned && !known && j.endedAt == 0 {
 		s.addTasks(j, true)
 	}
 	if entry.Canceled {
--- a/internal/service/ledger/dispatch.go
+++ b/internal/service/ledger/dispatch.go
@@ -184,7 +184,7 @@
 		}
 		out.Covered = append(out.Covered, id)
 		if w.startedAt > oldest {
-			out.Young = append(out.Young, id)
+			out.Restarted = append(out.Restarted, id)
 		}
 	}
 	return out
@@ -206,8 +206,8 @@
 	}})
 }
 
-// FillBeat adds the free resources and the version of the coverage to a heartbeat.
-func (s *Service) FillBeat(b *wire.Heartbeat) {
+// FillHeartbeat adds the free resources and the version of the coverage to a heartbeat.
+func (s *Service) FillHeartbeat(b *wire.Heartbeat) {
 	b.Free = s.Free()
 	b.Coverage = s.Coverage().Version
 }
--- a/internal/service/ledger/ledger.go
+++ b/internal/service/ledger/ledger.go
@@ -24,9 +24,9 @@
 
 // Ownership returns the terms and owners of shards.
 type Ownership interface {
-	// Mine returns the term of a shard that this instance owns.
-	Mine(model.Shard) (term uint64, ok bool)
-	Owner(model.Shard) (ownership.Slot, bool)
+	// OwnedTerm returns the term of a shard that this instance owns.
+	OwnedTerm(model.Shard) (term uint64, ok bool)
+	Owner(model.Shard) (ownership.ShardOwner, bool)
 }
 
 // Coordinator receives the states of tasks whose request shard this instance owns.
@@ -38,11 +38,11 @@
 type Limits interface {
 	// MayStart reports whether one more task of a team may start here.
 	MayStart(model.TeamID) bool
-	// Room returns how many of the wanted tasks of a team may start here.
-	Room(team model.TeamID, wanted int64) int64
-	// Shed records that a task of the team may still run on a worker that this
+	// StartableTasks returns how many of the wanted tasks of a team may start here.
+	StartableTasks(team model.TeamID, wanted int64) int64
+	// ReduceCeiling records that a task of the team may still run on a worker that this
 	// instance no longer holds.
-	Shed(model.TeamID)
+	ReduceCeiling(model.TeamID)
 }
 
 // Service tracks the workers held here and the tasks on them.
@@ -152,7 +152,7 @@
 // adoptWorker adds or updates a worker if this instance owns its shard. A new term
 // of the shard needs a new lease.
 func (s *Service) adoptWorker(info model.Worker) {
-	term, ok := s.ownership.Mine(model.ShardOfWorker(info.ID))
+	term, ok := s.ownership.OwnedTerm(model.ShardOfWorker(info.ID))
 	if !ok {
 		return
 	}
@@ -188,11 +188,11 @@
 		}
 	}
 	for _, t := range s.tasksOn(w.info.ID) {
-		s.limits.Shed(t.spec.Team)
+		s.limits.ReduceCeiling(t.spec.Team)
 		s.removeTask(t)
 	}
 	s.placement.scheduler.Fleet.Remove(w.info.ID)
-	s.placement.quarantine.Forget(w.info.ID)
+	s.placement.quarantine.Remove(w.info.ID)
 	delete(s.workers, w.info.ID)
 	if i, ok := slices.BinarySearch(s.workerIDs, w.info.ID); ok {
 		s.workerIDs = slices.Delete(s.workerIDs, i, i+1)
@@ -327,8 +327,8 @@
 	return free
 }
 
-// Roster returns every listed worker, including those held by other instances.
-func (s *Service) Roster() map[model.WorkerID]model.Worker { return s.listed }
+// ListedWorkers returns every listed worker, including those held by other instances.
+func (s *Service) ListedWorkers() map[model.WorkerID]model.Worker { return s.listed }
 
-// Holding returns the workers whose shards this instance owns, sorted.
-func (s *Service) Holding() []model.WorkerID { return s.workerIDs }
+// HeldWorkers returns the workers whose shards this instance owns, sorted.
+func (s *Service) HeldWorkers() []model.WorkerID { return s.workerIDs }
--- a/internal/service/ledger/placement.go
+++ b/internal/service/ledger/placement.go
@@ -17,7 +17,7 @@
 // placement chooses workers for tasks among the workers held here.
 type placement struct {
 	scheduler  *scheduler.Scheduler
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Tracker
 	preempter  *preempt.Planner
 	pending    map[model.TaskID]*pendingStart
 	gangHolds  map[model.TaskID]model.TeamID // gang tasks with reserved resources
@@ -46,9 +46,9 @@
 }
 
 func (p *placement) setLeased(id model.WorkerID, held bool) {
-	// SetUnschedulable fails only for a worker that is not in the fleet, which
+	// SetReasons fails only for a worker that is not in the fleet, which
 	// receives no tasks anyway.
-	_ = p.scheduler.Fleet.SetUnschedulable(id, fleet.ReasonNoLease, !held)
+	_ = p.scheduler.Fleet.SetReasons(id, fleet.ReasonNoLease, !held)
 }
 
 // preempt stops less important tasks to free resources for an urgent one. The urgent
@@ -56,7 +56,7 @@
 func (s *Service) preempt(d wire.Dispatch) (model.WorkerID, bool) {
 	now := s.env.Now()
 	t := &d.Task
-	plan, status := s.placement.preempter.Plan(now, s.placement.scheduler.Fleet, t, preempt.ForUrgent)
+	plan, status := s.placement.preempter.Plan(now, s.placement.scheduler.Fleet, t, preempt.EligibleForUrgent)
 	if !status.Success() {
 		return "", false
 	}
--- a/internal/service/limits/escrow.go
+++ b/internal/service/limits/escrow.go
@@ -41,7 +41,7 @@
 	s.expireGangDemands()
 	uncovered := int64(-1) // not counted yet
 	for _, team := range s.config.LimitedTeams() {
-		term, ok := s.ownership.Mine(model.ShardOfTeam(team))
+		term, ok := s.ownership.OwnedTerm(model.ShardOfTeam(team))
 		if !ok {
 			delete(s.escrows, team)
 			continue
@@ -174,15 +174,15 @@
 		return s.load(team), s.ownership.Applied(), true
 	}
 	m, ok := s.members.Member(o.Instance)
-	if !ok || m.Owner != o || m.Coverage.Version != m.Beat.Coverage {
+	if !ok || m.Owner != o || m.Coverage.Version != m.Heartbeat.Coverage {
 		return wire.TeamLoad{}, 0, false
 	}
-	for _, l := range m.Beat.Teams {
+	for _, l := range m.Heartbeat.Teams {
 		if l.Team == team {
-			return l, m.Beat.Applied, true
+			return l, m.Heartbeat.Applied, true
 		}
 	}
-	return wire.TeamLoad{Team: team}, m.Beat.Applied, true
+	return wire.TeamLoad{Team: team}, m.Heartbeat.Applied, true
 }
 
 // bound returns the highest number of tasks that a member may reach: the maximum of
@@ -211,12 +211,12 @@
 		Team: team, Term: e.term, Seq: g.seq, Ceiling: ceiling, Limit: s.limit(team), To: to.Incarnation,
 	}
 	if to == s.env.Owner() {
-		msg.Beat = currentBeat
+		msg.HeartbeatSeq = currentHeartbeatSeq
 		s.applyGrant(msg)
 		return
 	}
 	if m, ok := s.members.Member(to.Instance); ok {
-		msg.Beat = m.Beat.Seq
+		msg.HeartbeatSeq = m.Heartbeat.Seq
 	}
 	s.env.Send(to.Instance, msg)
 }
@@ -231,7 +231,7 @@
 		}
 	}
 	var slots int64
-	for id, w := range s.ledger.Roster() {
+	for id, w := range s.ledger.ListedWorkers() {
 		if !covered[id] {
 			slots += w.Capacity.Slots
 		}
--- a/internal/service/limits/limits.go
+++ b/internal/service/limits/limits.go
@@ -28,9 +28,9 @@
 	// Limit returns the maximum number of running tasks of a team at this hour, 0 for no
 	// limit.
 	Limit(model.TeamID) int64
-	// Limited reports whether a team has a limit at any hour. It does not depend on the
+	// HasLimit reports whether a team has a limit at any hour. It does not depend on the
 	// clock.
-	Limited(model.TeamID) bool
+	HasLimit(model.TeamID) bool
 	// LimitedTeams returns the teams with a limit at any hour, sorted.
 	LimitedTeams() []model.TeamID
 	// MaxLimit returns the highest limit declared for any hour, 0 when there is an hour
@@ -51,15 +51,15 @@
 	Teams() []model.TeamID
 	// Coverage returns the workers whose state this instance knows completely.
 	Coverage() wire.Coverage
-	// Roster returns every listed worker.
-	Roster() map[model.WorkerID]model.Worker
+	// ListedWorkers returns every listed worker.
+	ListedWorkers() map[model.WorkerID]model.Worker
 }
 
 // Ownership provides the shard owners, which are responsible for the limits of
 // teams.
 type Ownership interface {
-	Mine(model.Shard) (term uint64, ok bool)
-	Owner(model.Shard) (ownership.Slot, bool)
+	OwnedTerm(model.Shard) (term uint64, ok bool)
+	Owner(model.Shard) (ownership.ShardOwner, bool)
 	Applied() uint64
 }
 
@@ -86,7 +86,7 @@
 
 	ceilings          map[model.TeamID]ceiling
 	reductions        map[model.TeamID][]reduction
-	beat              uint64                 // sequence number of the last heartbeat sent
+	sentHeartbeatSeq  uint64                 // sequence number of the last heartbeat sent
 	refusedStarts     map[model.TeamID]int64 // starts refused since the last heartbeat
 	prevRefusedStarts map[model.TeamID]int64 // starts refused between the two heartbeats before it
 	gangDemands       map[model.TeamID]gangDemand
@@ -148,7 +148,7 @@
 
 // MayStart reports whether one more task of team may start here.
 func (s *Service) MayStart(team model.TeamID) bool {
-	if !s.config.Limited(team) {
+	if !s.config.HasLimit(team) {
 		return true
 	}
 	if s.config.Fresh() && s.ledger.Running(team) < s.currentCeiling(team).max {
@@ -174,13 +174,13 @@
 	if g.Term < owner.Term || g.Term < c.term || g.Term == c.term && g.Seq <= c.seq {
 		return
 	}
-	limit := max(g.Ceiling-s.unreportedReductions(g.Team, g.Beat), 0)
+	limit := max(g.Ceiling-s.unreportedReductions(g.Team, g.HeartbeatSeq), 0)
 	s.ceilings[g.Team] = ceiling{term: g.Term, seq: g.Seq, max: limit, limit: g.Limit}
 }
 
-// FillBeat adds the running tasks, ceiling and demand of each team to a heartbeat.
-func (s *Service) FillBeat(b *wire.Heartbeat) {
-	s.beat = b.Seq
+// FillHeartbeat adds the running tasks, ceiling and demand of each team to a heartbeat.
+func (s *Service) FillHeartbeat(b *wire.Heartbeat) {
+	s.sentHeartbeatSeq = b.Seq
 	b.Teams = s.loads()
 	s.prevRefusedStarts, s.refusedStarts = s.refusedStarts, make(map[model.TeamID]int64)
 }
@@ -217,10 +217,10 @@
 
 // taskSlots returns the number of task slots on the workers that a member covers.
 func (s *Service) taskSlots(o wire.Owner) int64 {
-	roster := s.ledger.Roster()
+	listed := s.ledger.ListedWorkers()
 	var slots int64
 	for _, id := range s.coverageOf(o).Workers {
-		if w := roster[id]; !w.Leaving {
+		if w := listed[id]; !w.Leaving {
 			slots += w.Capacity.Slots
 		}
 	}
--- a/internal/service/membership/membership.go
+++ b/internal/service/membership/membership.go
@@ -19,7 +19,7 @@
 // Member is what this instance knows of another one.
 type Member struct {
 	Owner           wire.Owner
-	Beat            wire.Heartbeat
+	Heartbeat       wire.Heartbeat
 	LastHeartbeatAt time.Duration
 	Coverage        wire.Coverage
 	dead            bool
@@ -31,14 +31,14 @@
 // shard.
 type Service struct {
 	env          *event.Env
-	contributors []service.BeatContributor
-	listeners    []service.MemberHandler
+	contributors []service.HeartbeatContributor
+	listeners    []service.MemberDeadHandler
 
-	listed   map[model.InstanceID]platform.Instance
-	members  map[model.InstanceID]*Member
-	beatSeq  uint64
-	lastBeat time.Duration
-	leaving  bool
+	listed           map[model.InstanceID]platform.Instance
+	members          map[model.InstanceID]*Member
+	heartbeatSeq     uint64
+	heartbeatsSentAt time.Duration
+	leaving          bool
 }
 
 // New returns the membership service.
@@ -56,8 +56,8 @@
 // Bind looks up the services that contribute to heartbeats and those that handle
 // dead members.
 func (s *Service) Bind(k *kernel.Kernel) error {
-	s.contributors = kernel.All[service.BeatContributor](k)
-	s.listeners = kernel.All[service.MemberHandler](k)
+	s.contributors = kernel.All[service.HeartbeatContributor](k)
+	s.listeners = kernel.All[service.MemberDeadHandler](k)
 	return nil
 }
 
@@ -79,7 +79,7 @@
 	}
 }
 
-func (s *Service) onHeartbeat(from wire.Owner, beat wire.Heartbeat) {
+func (s *Service) onHeartbeat(from wire.Owner, heartbeat wire.Heartbeat) {
 	member, ok := s.members[from.Instance]
 	if ok && from.Incarnation < member.Owner.Incarnation {
 		return
@@ -95,10 +95,10 @@
 	}
 	member.LastHeartbeatAt = s.env.Now()
 	member.dead = false
-	if beat.Seq > member.Beat.Seq {
-		member.Beat = beat
+	if heartbeat.Seq > member.Heartbeat.Seq {
+		member.Heartbeat = heartbeat
 	}
-	if member.Coverage.Version < member.Beat.Coverage {
+	if member.Coverage.Version < member.Heartbeat.Coverage {
 		s.env.Send(from.Instance, wire.FetchCoverage{})
 	}
 }
@@ -112,8 +112,8 @@
 
 // OnTick sends heartbeats and declares members dead.
 func (s *Service) OnTick() {
-	if s.lastBeat == 0 || s.env.Now()-s.lastBeat >= s.env.Timing.Heartbeat {
-		s.lastBeat = s.env.Now()
+	if s.heartbeatsSentAt == 0 || s.env.Now()-s.heartbeatsSentAt >= s.env.Timing.Heartbeat {
+		s.heartbeatsSentAt = s.env.Now()
 		s.sendHeartbeats()
 	}
 	for _, id := range s.sortedMembers() {
@@ -125,13 +125,13 @@
 }
 
 func (s *Service) sendHeartbeats() {
-	s.beatSeq++
-	beat := wire.Heartbeat{Seq: s.beatSeq, Leaving: s.leaving, Hears: s.reachable()}
+	s.heartbeatSeq++
+	heartbeat := wire.Heartbeat{Seq: s.heartbeatSeq, Leaving: s.leaving, Reachable: s.reachable()}
 	for _, c := range s.contributors {
-		c.FillBeat(&beat)
+		c.FillHeartbeat(&heartbeat)
 	}
 	for _, id := range s.Peers() {
-		s.env.Send(id, beat)
+		s.env.Send(id, heartbeat)
 	}
 }
 
@@ -166,7 +166,7 @@
 			continue
 		}
 		voters++
-		if !slices.Contains(m.Beat.Hears, o) {
+		if !slices.Contains(m.Heartbeat.Reachable, o) {
 			unreachable++
 		}
 	}
@@ -232,7 +232,7 @@
 		return s.leaving
 	}
 	m, ok := s.members[id]
-	return ok && m.Beat.Leaving
+	return ok && m.Heartbeat.Leaving
 }
 
 // IsLive reports whether o counts as live. An instance from which no heartbeat was
--- a/internal/service/requests/dispatch.go
+++ b/internal/service/requests/dispatch.go
@@ -48,13 +48,13 @@
 // each team's usage at other instances as reported by heartbeats.
 func (s *Service) refreshShares() {
 	var capacity model.Resources
-	for _, w := range s.ledger.Roster() {
+	for _, w := range s.ledger.ListedWorkers() {
 		capacity = capacity.Add(w.Capacity)
 	}
 	s.queue.SetCapacity(capacity)
 	for _, t := range s.config.Teams() {
-		s.queue.SetShare(t.Name, t.Share)
-		s.queue.SetUsage(t.Name, s.usageElsewhere(t.Name))
+		s.queue.SetWeight(t.Name, t.Share)
+		s.queue.SetRemoteUsage(t.Name, s.usageElsewhere(t.Name))
 	}
 	s.queue.Rebalance()
 }
@@ -68,13 +68,13 @@
 		if !ok {
 			continue
 		}
-		for _, load := range m.Beat.Teams {
+		for _, load := range m.Heartbeat.Teams {
 			if load.Team == team {
 				usage = usage.Add(load.Usage)
 			}
 		}
 	}
-	remaining := usage.Sub(s.queue.Book.Account(team).Local())
+	remaining := usage.Sub(s.queue.Accounts.Account(team).Local())
 	return model.Resources{
 		MilliCPU: max(remaining.MilliCPU, 0), MemoryMiB: max(remaining.MemoryMiB, 0),
 		Slots: max(remaining.Slots, 0), Accelerators: max(remaining.Accelerators, 0),
@@ -93,8 +93,8 @@
 			e = &freeEstimate{}
 			s.freeEstimates[o.Instance] = e
 		}
-		if m.Beat.Seq > e.seq {
-			e.seq, e.free = m.Beat.Seq, m.Beat.Free
+		if m.Heartbeat.Seq > e.seq {
+			e.seq, e.free = m.Heartbeat.Seq, m.Heartbeat.Free
 		}
 	}
 }
@@ -103,7 +103,7 @@
 // the other instance with the most free task slots. It reports whether the task was
 // dispatched.
 func (s *Service) dispatch(e *entry) bool {
-	term, ok := s.ownership.Mine(e.shard)
+	term, ok := s.ownership.OwnedTerm(e.shard)
 	if !ok || s.handover.Frozen(e.shard) {
 		return false
 	}
@@ -228,7 +228,7 @@
 		return nil
 	}
 	shard := model.ShardOfTask(base)
-	if _, mine := s.ownership.Mine(shard); !mine {
+	if _, owned := s.ownership.OwnedTerm(shard); !owned {
 		return nil
 	}
 	e := &entry{
@@ -258,7 +258,7 @@
 	}
 	e.holder = wire.Owner{}
 	s.setPhase(e, phaseWaiting)
-	s.queue.Return(&e.task, e.queueRank)
+	s.queue.Requeue(&e.task, e.queueRank)
 }
 
 func (s *Service) onRunning(e *entry, from wire.Owner, st wire.TaskState) {
--- a/internal/service/requests/jobtasks.go
+++ b/internal/service/requests/jobtasks.go
@@ -112,8 +112,8 @@
 	s.stop(e)
 }
 
-// Forget removes the entry of a job's finished task.
-func (s *Service) Forget(id model.TaskID) {
+// RemoveTask removes the entry of a job's finished task.
+func (s *Service) RemoveTask(id model.TaskID) {
 	if e, ok := s.entries[id]; ok && e.phase == phaseFinished {
 		delete(s.entries, id)
 	}
@@ -139,7 +139,7 @@
 func (s *Service) explainWait(e *entry) []byte {
 	r := Reason{
 		Phase: e.phase.String(), TeamWaiting: s.queue.Waiting(e.task.Team),
-		TeamLevel: s.queue.Book.Account(e.task.Team).Level(), Here: s.ledger.Explain(&e.task),
+		TeamLevel: s.queue.Accounts.Account(e.task.Team).WeightedShare(), Here: s.ledger.Explain(&e.task),
 	}
 	for _, o := range s.members.Live() {
 		r.AtLimit = r.AtLimit || s.recentlyRefused(o.Instance, e.task.Team)
@@ -155,9 +155,9 @@
 	return body
 }
 
-// Why returns the Reason of the first waiting task among ids as JSON, or nil if none
+// ExplainWait returns the Reason of the first waiting task among ids as JSON, or nil if none
 // waits.
-func (s *Service) Why(ids []model.TaskID) []byte {
+func (s *Service) ExplainWait(ids []model.TaskID) []byte {
 	i := slices.IndexFunc(ids, func(id model.TaskID) bool {
 		e, ok := s.entries[id]
 		return ok && (e.phase == phaseWaiting || e.phase == phaseGang)
--- a/internal/service/requests/locate.go
+++ b/internal/service/requests/locate.go
@@ -43,7 +43,7 @@
 // rounds are discarded, because a worker that was covered then may have another lease
 // holder now.
 func (s *Service) startLocateRound(l *locate, e *entry) {
-	term, ok := s.ownership.Mine(e.shard)
+	term, ok := s.ownership.OwnedTerm(e.shard)
 	if !ok {
 		delete(s.locates, l.id)
 		return
@@ -95,7 +95,7 @@
 	for _, id := range m.Covered {
 		l.covered[id] = true
 	}
-	for _, id := range m.Young {
+	for _, id := range m.Restarted {
 		l.restarted[id] = true
 	}
 	if s.coversAll(l) {
@@ -105,13 +105,13 @@
 }
 
 func (s *Service) coversAll(l *locate) bool {
-	roster := s.ledger.Roster()
-	for id := range roster {
+	listed := s.ledger.ListedWorkers()
+	for id := range listed {
 		if !l.covered[id] {
 			return false
 		}
 	}
-	return len(roster) > 0
+	return len(listed) > 0
 }
 
 // resolveUnseen handles a task that no worker has seen. A restarted worker may have
--- a/internal/service/requests/memory.go
+++ b/internal/service/requests/memory.go
@@ -22,8 +22,8 @@
 	receivedAt time.Duration
 }
 
-// Export returns the records of the shards' requests, with times as ages.
-func (s *Service) Export(shards []wire.ShardTerm) ([]wire.ShardMemory, []wire.RequestMemory) {
+// ExportRecords returns the records of the shards' requests, with times as ages.
+func (s *Service) ExportRecords(shards []wire.ShardTerm) ([]wire.ShardMemory, []wire.RequestMemory) {
 	var memory []wire.ShardMemory
 	wanted := make(map[model.Shard]bool, len(shards))
 	for _, st := range shards {
@@ -48,8 +48,8 @@
 	now := s.env.Now()
 	m := wire.RequestMemory{
 		ID: e.id, Task: e.task, Fingerprint: e.fingerprint, Phase: uint8(e.phase),
-		Holder: e.holder, Attempt: e.attempt, Run: e.run, Canceled: e.canceled,
-		BornAge: now - e.firstReceivedAt, WaitAge: now - e.receivedAt, Remaining: e.deadline - now,
+		LeaseHolder: e.holder, Attempt: e.attempt, Run: e.run, Canceled: e.canceled,
+		CreatedAge: now - e.firstReceivedAt, QueuedAge: now - e.receivedAt, Remaining: e.deadline - now,
 		Worker: e.worker, Answer: e.answer,
 	}
 	m.Task.ID = e.base
@@ -60,8 +60,8 @@
 	return m
 }
 
-// Remembered returns the number of a shard's requests recorded here.
-func (s *Service) Remembered(shard model.Shard) int {
+// RecordCount returns the number of a shard's requests recorded here.
+func (s *Service) RecordCount(shard model.Shard) int {
 	n := 0
 	for _, e := range s.entries {
 		if e.shard == shard {
@@ -71,9 +71,9 @@
 	return n
 }
 
-// Import keeps records received from a shard's owner until the log reports the
+// ImportRecords keeps records received from a shard's owner until the log reports the
 // handover of the shard.
-func (s *Service) Import(m wire.Memory) {
+func (s *Service) ImportRecords(m wire.Memory) {
 	for _, shard := range m.Shards {
 		s.imports[shard.ShardTerm.Shard] = &pendingImport{shard: shard, receivedAt: s.env.Now()}
 	}
@@ -89,7 +89,7 @@
 	imported := s.imports[m.Shard]
 	delete(s.imports, m.Shard)
 	switch {
-	case m.After == s.env.Owner() && m.Before == s.env.Owner() && !m.Gap:
+	case m.After == s.env.Owner() && m.Before == s.env.Owner() && !m.ChangesMissed:
 		// A new term of the same owner: no records are lost.
 	case m.After == s.env.Owner():
 		s.gainShard(m, imported)
@@ -105,7 +105,7 @@
 	if m.OldTerm != 0 {
 		history.lostAt = max(s.env.Now(), 1)
 	}
-	complete := m.Planned && imported != nil && imported.shard.ShardTerm.Term == m.OldTerm
+	complete := m.HandedOver && imported != nil && imported.shard.ShardTerm.Term == m.OldTerm
 	if complete {
 		history = shardHistory{exactFrom: imported.shard.ExactFrom}
 		if imported.shard.PastAge > 0 {
@@ -127,8 +127,8 @@
 	}
 	e := &entry{
 		id: r.ID, task: r.Task, base: r.Task.ID, shard: shard, fingerprint: r.Fingerprint,
-		phase: phaseLocating, holder: r.Holder, attempt: r.Attempt, run: r.Run, canceled: r.Canceled,
-		firstReceivedAt: importedAt - r.BornAge, receivedAt: importedAt - r.WaitAge, deadline: importedAt + r.Remaining, worker: r.Worker,
+		phase: phaseLocating, holder: r.LeaseHolder, attempt: r.Attempt, run: r.Run, canceled: r.Canceled,
+		firstReceivedAt: importedAt - r.CreatedAge, receivedAt: importedAt - r.QueuedAge, deadline: importedAt + r.Remaining, worker: r.Worker,
 	}
 	s.entries[e.base] = e
 	if e.task.Kind == model.KindGang && phase(r.Phase) != phaseFinished {
--- a/internal/service/requests/requests.go
+++ b/internal/service/requests/requests.go
@@ -28,9 +28,9 @@
 
 // Ownership returns the owners of shards.
 type Ownership interface {
-	// Mine returns the term of a shard that this instance owns.
-	Mine(model.Shard) (term uint64, ok bool)
-	Owner(model.Shard) (ownership.Slot, bool)
+	// OwnedTerm returns the term of a shard that this instance owns.
+	OwnedTerm(model.Shard) (term uint64, ok bool)
+	Owner(model.Shard) (ownership.ShardOwner, bool)
 }
 
 // Members returns the live instances and their latest heartbeats.
@@ -49,7 +49,7 @@
 	Locate(wire.Locate) wire.Located
 	Cancel(wire.CancelTask)
 	Free() model.Resources
-	Roster() map[model.WorkerID]model.Worker
+	ListedWorkers() map[model.WorkerID]model.Worker
 	Usage(model.TeamID) model.Resources
 	Explain(t *model.Task) scheduler.Explanation
 	HoldTasks(wire.HoldTasks) wire.Held
@@ -172,9 +172,9 @@
 func (s *Service) Serve(from wire.Owner, f wire.Forward) {
 	r := f.Request
 	shard := model.ShardOfRequest(f.Team, r.ID)
-	_, mine := s.ownership.Mine(shard)
-	if !mine || s.handover.Frozen(shard) {
-		s.refuse(from, f, verdict.Refuse(verdict.CodeStaleAuthority, "the shard has another owner").After(retryAfter))
+	_, owned := s.ownership.OwnedTerm(shard)
+	if !owned || s.handover.Frozen(shard) {
+		s.refuse(from, f, verdict.Refuse(verdict.CodeStaleAuthority, "the shard has another owner").WithRetryAfter(retryAfter))
 		return
 	}
 	switch r.Op {
@@ -249,10 +249,10 @@
 
 func (s *Service) newEntry(base model.TaskID, shard model.Shard, f wire.Forward) (*entry, *verdict.Error) {
 	if len(s.entries) >= maxEntries {
-		return nil, verdict.Refuse(verdict.CodeOverloaded, "too many requests are remembered here").After(retryAfter)
+		return nil, verdict.Refuse(verdict.CodeOverloaded, "too many requests are remembered here").WithRetryAfter(retryAfter)
 	}
 	if s.queue.Waiting(f.Team) >= maxWaitingPerTeam {
-		return nil, verdict.Refuse(verdict.CodeOverloaded, "the team has %d requests waiting here", maxWaitingPerTeam).After(retryAfter)
+		return nil, verdict.Refuse(verdict.CodeOverloaded, "the team has %d requests waiting here", maxWaitingPerTeam).WithRetryAfter(retryAfter)
 	}
 	t, refusal := s.buildTask(base, f)
 	if refusal != nil {
@@ -290,11 +290,11 @@
 }
 
 func (s *Service) fitsListedWorker(t *model.Task) bool {
-	roster := s.ledger.Roster()
-	if len(roster) == 0 {
+	listed := s.ledger.ListedWorkers()
+	if len(listed) == 0 {
 		return true
 	}
-	for _, w := range roster {
+	for _, w := range listed {
 		if t.Demand.Fits(w.Capacity) && t.Require.Matches(w.Labels) {
 			return true
 		}
@@ -338,5 +338,5 @@
 // Waiting returns the number of a team's tasks that wait in the queue here.
 func (s *Service) Waiting(team model.TeamID) int64 { return int64(s.queue.Waiting(team)) }
 
-// Busy returns the number of requests here without a final answer.
-func (s *Service) Busy() int { return len(s.open) }
+// OpenRequests returns the number of requests here without a final answer.
+func (s *Service) OpenRequests() int { return len(s.open) }
--- a/internal/service/snapshots/snapshots.go
+++ b/internal/service/snapshots/snapshots.go
@@ -31,7 +31,7 @@
 
 // Ownership provides the owner of the writer shard and how far the log is applied.
 type Ownership interface {
-	Mine(model.Shard) (term uint64, ok bool)
+	OwnedTerm(model.Shard) (term uint64, ok bool)
 	Applied() uint64
 	CaughtUp() bool
 }
@@ -73,11 +73,11 @@
 
 // OnTick appends a snapshot when one is due.
 func (s *Service) OnTick() {
-	if _, mine := s.ownership.Mine(writerShard); !mine || !s.due() || !s.ownership.CaughtUp() {
+	if _, owned := s.ownership.OwnedTerm(writerShard); !owned || !s.due() || !s.ownership.CaughtUp() {
 		return
 	}
 	s.appendedAt = s.env.Now()
-	s.env.Append(s.Take())
+	s.env.Append(s.TakeSnapshot())
 }
 
 // due reports whether a snapshot is due: there are entries after the last one, and
@@ -92,9 +92,9 @@
 	return age >= maxInterval || since >= maxEntries || trimmed && retentionDivisor*since >= s.next-s.oldest
 }
 
-// Take returns the state of all services after the last applied entry. It must not
+// TakeSnapshot returns the state of all services after the last applied entry. It must not
 // be called while an entry is being applied.
-func (s *Service) Take() wire.Snapshot {
+func (s *Service) TakeSnapshot() wire.Snapshot {
 	snap := wire.Snapshot{Applied: s.ownership.Applied()}
 	for _, src := range s.sources {
 		snap.Parts = append(snap.Parts, wire.SnapshotPart{Name: src.SnapshotName(), Data: src.Snapshot()})
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -108,7 +108,7 @@
 
 // deliver runs command on the worker's core and waits until it has run or ctx is
 // done. A paused worker runs it when it resumes, even if ctx is done by then; a
-// worker with the Silent fault never runs it.
+// worker with the Unresponsive fault never runs it.
 func (s *Workers) deliver(ctx context.Context, id model.WorkerID, command func(time.Time, *WorkerCore)) error {
 	wr := s.runner(id)
 	if wr == nil {
@@ -142,7 +142,7 @@
 	switch {
 	case f.Unreachable:
 		return nil, ErrUnreachable
-	case f.Silent:
+	case f.Unresponsive:
 		return done, nil
 	case f.Paused:
 		wr.pausedCommands = append(wr.pausedCommands, func(now time.Time, c *WorkerCore) {
--- a/internal/testcell/instance.go
+++ b/internal/testcell/instance.go
@@ -96,9 +96,9 @@
 }
 
 func (in *instance) step(e event.Event) {
-	actions := in.core.Step(in.clockTime(), in.cell.tamperEvent(in, e))
+	actions := in.core.Step(in.clockTime(), in.cell.injectEvent(in, e))
 	for _, a := range actions {
-		for _, b := range in.cell.tamperAction(in, a) {
+		for _, b := range in.cell.injectAction(in, a) {
 			in.execute(b)
 		}
 	}
@@ -174,13 +174,13 @@
 		c.disconnectLater(l, c.randomDuration(0, c.options.Timing.DeadAfter))
 	}
 	for _, call := range c.calls {
-		if call.Via == id && !call.answered() {
+		if call.Instance == id && !call.answered() {
 			call.Lost = true
 		}
 	}
 }
 
-// Pause suspends an instance, as SIGSTOP does. Deliveries wait until Wake.
+// Pause suspends an instance, as SIGSTOP does. Deliveries wait until Resume.
 func (c *Cell) Pause(id model.InstanceID) {
 	in := c.instances[id]
 	if !in.running() {
@@ -192,8 +192,8 @@
 	}
 }
 
-// Wake ends a pause. The deferred deliveries are handled in order.
-func (c *Cell) Wake(id model.InstanceID) {
+// Resume ends a pause. The deferred deliveries are handled in order.
+func (c *Cell) Resume(id model.InstanceID) {
 	in := c.instances[id]
 	if !in.alive || !in.paused {
 		return
@@ -214,18 +214,18 @@
 	c.instances[id].deliverEvent(0, event.DrainStarted{})
 }
 
-// Drained reports whether an instance has no open callers and no busy requests.
+// Drained reports whether an instance has no open callers and no open requests.
 func (c *Cell) Drained(id model.InstanceID) bool {
 	k := c.instances[id].core.Kernel()
 	open, err := kernel.Find[interface{ Open() int }](k, service.Gateway)
 	if err != nil {
 		panic(err)
 	}
-	busy, err := kernel.Find[interface{ Busy() int }](k, service.Requests)
+	requests, err := kernel.Find[interface{ OpenRequests() int }](k, service.Requests)
 	if err != nil {
 		panic(err)
 	}
-	return open.Open() == 0 && busy.Busy() == 0
+	return open.Open() == 0 && requests.OpenRequests() == 0
 }
 
 // appendNext appends the pending records of an instance as one entry, unless an
@@ -329,8 +329,8 @@
 	})
 }
 
-// Version returns the highest configuration version in force at any instance.
-func (c *Cell) Version() uint64 {
+// MaxConfigVersion returns the highest configuration version in force at any instance.
+func (c *Cell) MaxConfigVersion() uint64 {
 	var highest uint64
 	for _, in := range c.instances {
 		highest = max(highest, in.maxVersion)
--- a/internal/testcell/worker.go
+++ b/internal/testcell/worker.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// WorkerFaults replaces the injected faults of a worker.
-func (c *Cell) WorkerFaults(id model.WorkerID, f standin.WorkerFaults) {
+// SetWorkerFaults replaces the injected faults of a worker.
+func (c *Cell) SetWorkerFaults(id model.WorkerID, f standin.WorkerFaults) {
 	w := c.workers[id]
 	w.core.SetFaults(c.wallTime(), f)
 	w.update()
@@ -62,19 +62,19 @@
 	w.update()
 }
 
-// DelayWorker delays commands to a worker by d; 0 ends the delay.
-func (c *Cell) DelayWorker(id model.WorkerID, d time.Duration) { c.workers[id].commandDelay = d }
+// SetCommandDelay delays commands to a worker by d; 0 ends the delay.
+func (c *Cell) SetCommandDelay(id model.WorkerID, d time.Duration) { c.workers[id].commandDelay = d }
 
-// LoseRenewals sets whether the answers of a worker's renewals are lost.
-func (c *Cell) LoseRenewals(id model.WorkerID, lose bool) { c.workers[id].loseRenewals = lose }
+// SetRenewalLoss sets whether the answers of a worker's renewals are lost.
+func (c *Cell) SetRenewalLoss(id model.WorkerID, lose bool) { c.workers[id].loseRenewals = lose }
 
-// CutWorker makes a worker unreachable from an instance until Heal.
-func (c *Cell) CutWorker(in model.InstanceID, id model.WorkerID) {
+// PartitionFromWorker makes a worker unreachable from an instance until EndPartitions.
+func (c *Cell) PartitionFromWorker(in model.InstanceID, id model.WorkerID) {
 	c.workers[id].unreachableFrom[in] = true
 }
 
-// LeaveWorker marks a worker as leaving in the list.
-func (c *Cell) LeaveWorker(id model.WorkerID) {
+// MarkWorkerLeaving marks a worker as leaving in the list.
+func (c *Cell) MarkWorkerLeaving(id model.WorkerID) {
 	c.list.MarkWorkerLeaving(c.wallTime(), id)
 	c.leavingSince[id] = c.now + c.listLag
 }
@@ -113,7 +113,7 @@
 		switch {
 		case !ready:
 			pending = append(pending, p)
-		case f.Silent || w.loseRenewals:
+		case f.Unresponsive || w.loseRenewals:
 		case f.Unreachable || w.unreachableFrom[p.instance.info.ID]:
 			p.answer(platform.RenewReply{}, true)
 		default:
@@ -161,7 +161,7 @@
 		switch {
 		case f.Unreachable || w.unreachableFrom[in.info.ID]:
 			answer(onLost)
-		case f.Silent:
+		case f.Unresponsive:
 		case f.Paused:
 			w.heldCommands = append(w.heldCommands, func() { execute(w, answer) })
 		default:
@@ -215,7 +215,7 @@
 		return func() { in.step(e) }
 	}
 	c.command(in, a.Worker.ID, callTimeout, func(w *worker, complete func(func())) {
-		err := w.core.Start(c.wallTime(), w.tamperStart(a.Request))
+		err := w.core.Start(c.wallTime(), w.injectStart(a.Request))
 		if w.core.Faults().LoseStartAnswer {
 			err = standin.ErrAnswerLost
 		}
