--- a/internal/cell/node/actions.go
+++ b/internal/cell/node/actions.go
@@ -16,16 +16,16 @@
 	// appendTimeout bounds one attempt to append. It allows for a slow store.
 	appendTimeout = 1500 * time.Millisecond
 	// appendProbeDelay is how long an attempt may take before the store is probed. If
-	// the probe is answered, the attempt was lost in an outage.
+	// the store answers the probe, the attempt is taken as lost in an outage, aborted
+	// and retried.
 	appendProbeDelay = 400 * time.Millisecond
 	// appendRetryDelay is the delay after a failed attempt to append and between two
 	// probes.
 	appendRetryDelay = 20 * time.Millisecond
-	// adviceMargin is how much longer than its declared cost a call to the adviser may
-	// take.
+	// adviceMargin is how much longer than expected a call to the adviser may take.
 	adviceMargin = 600 * time.Millisecond
-	// maxAppendBytes is the maximum size of keys and values in one append of several
-	// records.
+	// maxAppendBytes is the maximum total size, in bytes, of the keys and values in one
+	// append of several records. A larger record is appended on its own.
 	maxAppendBytes = 1 << 20
 )
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// appendBatch stores a batch and posts the outcome once that is certain.
+// appendBatch stores a batch and posts the outcome once the outcome is certain.
 func (l *leader) appendBatch(a *engine.Append) {
 	start := time.Now()
 	for i, part := range splitBatch(a.Records) {
@@ -82,7 +82,8 @@
 
 // appendPart appends records. It retries until the outcome is certain, or returns with
 // certain false when the term ends. The first part of a batch is returned as not stored
-// if the store has refused it and no earlier attempt may have had an effect.
+// if the store has refused it and no earlier attempt may have had an effect. Later parts
+// are retried in any case, as a part of their batch is stored already.
 func (l *leader) appendPart(records []record.Record, first bool) (outcome engine.AppendOutcome, certain bool) {
 	uncertain := false
 	for l.ctx.Err() == nil {
@@ -156,7 +157,7 @@
 	args := AdviseArgs{Step: a.Step, Workers: a.Workers, Timeout: a.Cost + adviceMargin}
 	address := l.followerAddress(a.Delegate)
 	if address == "" {
-		l.post(ev)
+		l.post(ev) // counts as a failed call
 		return
 	}
 	err := l.n.peers.Get(address).Call(ctx, serviceName+".Advise", &args, &reply)
--- a/internal/cell/node/cluster_test.go
+++ b/internal/cell/node/cluster_test.go
@@ -31,7 +31,8 @@
 	unreachable map[string]bool // instances whose network connections lose all data
 }
 
-// member is one instance of a cluster, and the listener of its peers.
+// member is one instance of a cluster. It implements the net.Listener on which its peers
+// connect.
 type member struct {
 	*Node
 	address string
@@ -59,7 +60,7 @@
 			}
 			time.Sleep(20 * time.Second) // until calls in progress have timed out
 		}()
-		time.Sleep(2 * time.Second)
+		time.Sleep(2 * time.Second) // until an instance leads
 		f(t, c)
 	})
 }
@@ -80,7 +81,7 @@
 // start starts an instance with a CPU share in cores.
 func (c *cluster) start(name string, share float64) *member {
 	m := &member{address: name + ":1", stopped: make(chan struct{}), conns: make(chan net.Conn), store: &storeAccess{memoryStore: c.store}}
-	set := Settings{
+	settings := Settings{
 		Instance: name, Address: m.address, CPUShare: share,
 		Engine: engine.Config{
 			Lease: 6 * time.Second, MaxLease: 10 * time.Second, LeaseExpiryMargin: 100 * time.Millisecond, MaxStopDuration: 200 * time.Millisecond,
@@ -95,7 +96,7 @@
 	if testing.Verbose() {
 		log = slog.New(slog.NewTextHandler(c.t.Output(), nil))
 	}
-	m.Node = New(set, ports, NewStats(), log.With("i", name))
+	m.Node = New(settings, ports, NewStats(), log.With("i", name))
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
 	c.mu.Lock()
@@ -108,7 +109,7 @@
 	return m
 }
 
-// kill stops an instance that has no chance to resign.
+// kill stops an instance without letting it resign.
 func (c *cluster) kill(m *member) {
 	c.mu.Lock()
 	delete(c.members, m.settings.Instance)
@@ -122,7 +123,7 @@
 	}
 }
 
-// leader returns the only instance that leads, or nil.
+// leader returns the instance that leads, or nil. The test fails if more than one leads.
 func (c *cluster) leader() *member {
 	var found *member
 	for _, m := range c.all() {
@@ -159,8 +160,8 @@
 	if to == nil {
 		return nil, errors.Mark(errors.New("refused"), peer.ErrRefused)
 	}
-	here, there := net.Pipe()
-	a, b := &pipe{Conn: here, c: c, instances: [2]string{from.settings.Instance, to.settings.Instance}}, &pipe{Conn: there, c: c, instances: [2]string{from.settings.Instance, to.settings.Instance}}
+	local, remote := net.Pipe()
+	a, b := &pipe{Conn: local, c: c, instances: [2]string{from.settings.Instance, to.settings.Instance}}, &pipe{Conn: remote, c: c, instances: [2]string{from.settings.Instance, to.settings.Instance}}
 	c.mu.Lock()
 	from.pipes, to.pipes = append(from.pipes, a), append(to.pipes, b)
 	c.mu.Unlock()
@@ -210,11 +211,11 @@
 
 // memoryStore is a store in memory.
 type memoryStore struct {
-	mu      sync.Mutex
-	leaders []Leadership
-	term    int64
-	seq     int64
-	records map[string][]byte
+	mu           sync.Mutex
+	leaderships  []Leadership      // by offset
+	term         int64             // newest term that has fenced the earlier ones
+	lastSequence int64             // sequence number of the last append in that term
+	records      map[string][]byte // newest value of each key
 }
 
 func newMemoryStore() *memoryStore { return &memoryStore{records: make(map[string][]byte)} }
@@ -236,9 +237,9 @@
 	slowdown time.Duration // multiplier of storeLatency; zero means one
 }
 
-func (a *storeAccess) setSlowdown(factor time.Duration) {
+func (a *storeAccess) setSlowdown(multiplier time.Duration) {
 	a.mu.Lock()
-	a.slowdown = factor
+	a.slowdown = multiplier
 	a.mu.Unlock()
 }
 
@@ -275,9 +276,9 @@
 // ReadLeadership implements Store.
 func (a *storeAccess) ReadLeadership(ctx context.Context) (rec Leadership, offset, next int64, found bool, err error) {
 	err = a.call(ctx, func() error {
-		next = int64(len(a.leaders))
+		next = int64(len(a.leaderships))
 		if next > 0 {
-			rec, offset, found = a.leaders[next-1], next-1, true
+			rec, offset, found = a.leaderships[next-1], next-1, true
 		}
 		return nil
 	})
@@ -287,10 +288,10 @@
 // WriteLeadership implements Store.
 func (a *storeAccess) WriteLeadership(ctx context.Context, rec Leadership, next int64) error {
 	return a.call(ctx, func() error {
-		if next != int64(len(a.leaders)) {
+		if next != int64(len(a.leaderships)) {
 			return ErrConflict
 		}
-		a.leaders = append(a.leaders, rec)
+		a.leaderships = append(a.leaderships, rec)
 		return nil
 	})
 }
@@ -301,7 +302,7 @@
 		if term < a.term {
 			return ErrFenced
 		}
-		a.term, a.seq = term, 0
+		a.term, a.lastSequence = term, 0
 		return nil
 	})
 }
@@ -312,10 +313,10 @@
 		if term < a.term {
 			return ErrFenced
 		}
-		if sequence <= a.seq {
+		if sequence <= a.lastSequence {
 			return nil // a repeat
 		}
-		a.seq = sequence
+		a.lastSequence = sequence
 		for _, r := range records {
 			a.records[r.Key] = r.Value
 		}
--- a/internal/cell/node/handover.go
+++ b/internal/cell/node/handover.go
@@ -9,7 +9,7 @@
 // another instance, or if an instance with much more CPU could lead.
 func (l *leader) considerHandover(live []*follower) {
 	failingSince := l.storeFailingSince.Load()
-	failing := failingSince != 0 && time.Since(l.n.startedAt)-time.Duration(failingSince) > storeRefusedHandoverDelay
+	failing := failingSince != 0 && time.Since(l.n.startedAt)-time.Duration(failingSince) > storeFailingHandoverDelay
 	sinceAnswer := l.n.since(&l.n.storeAnsweredAt)
 	unreachable := failing || sinceAnswer > storeNoAnswerHandoverDelay
 	if !unreachable {
@@ -65,8 +65,8 @@
 func lowCPU(share, largest float64) bool { return share < largest/minCPUShareRatio }
 
 const (
-	// minCPUShareRatio is how many times the CPU share of another instance an instance
-	// must have to be preferred as the leader.
+	// minCPUShareRatio is the ratio of two CPU shares from which the instance with the
+	// larger share is preferred as the leader.
 	minCPUShareRatio = 1.5
 	// lowCPUHandoverDelay is how long only low-CPU instances must have reached the store
 	// before a leader that does not reach it hands over to one of them. They take
--- a/internal/cell/node/leader.go
+++ b/internal/cell/node/leader.go
@@ -24,7 +24,7 @@
 	cancel   context.CancelFunc
 	ctx      context.Context
 
-	onlyLowCPUSince   time.Time    // since when only low-CPU instances reach the store; zero if others do
+	onlyLowCPUSince   time.Time    // since when only low-CPU instances reach the store; zero otherwise
 	startedAt         time.Time    // when the term began on this instance
 	sequence          int64        // sequence number of the next append
 	storeFailingSince atomic.Int64 // since when every call to the store fails, in nanoseconds since Node.startedAt; zero if the last one succeeded
@@ -45,7 +45,7 @@
 	// maxEventBatch is how many queued events, after the first, the engine handles
 	// before its actions are executed.
 	maxEventBatch = 128
-	// tickInterval is how often the engine runs when there are no events.
+	// tickInterval is the time between two runs of the engine when there are no events.
 	tickInterval = 10 * time.Millisecond
 	// leadershipRenewInterval is the delay between two renewals of the leadership record.
 	leadershipRenewInterval = 400 * time.Millisecond
@@ -57,9 +57,9 @@
 	loadTimeout = 8 * time.Second
 )
 
-// preparing reports whether this instance has claimed the leadership and prepares to
-// lead. It is also true while the instance leads.
-func (n *Node) preparing() bool {
+// leadsOrPrepares reports whether this instance leads, or has claimed the leadership and
+// prepares to lead.
+func (n *Node) leadsOrPrepares() bool {
 	known := n.knownLeader.Load()
 	return known != nil && known.Session == n.incarnation
 }
@@ -71,9 +71,9 @@
 	defer cancel()
 	l := &leader{n: n, rec: *rec, events: make(chan any, maxQueuedEvents), done: make(chan struct{}),
 		cancel: cancel, ctx: ctx, followers: make(map[string]*follower), sequence: 1, startedAt: time.Now()}
-	renewed := make(chan struct{})
+	renewalEnded := make(chan struct{})
 	go func() {
-		defer close(renewed)
+		defer close(renewalEnded)
 		l.renewLeadership(next)
 	}()
 	e := l.prepare()
@@ -91,7 +91,7 @@
 	n.leading.CompareAndSwap(l, nil)
 	n.knownLeader.Store(nil)
 	n.notifyLeaderChanged()
-	<-renewed
+	<-renewalEnded
 }
 
 // stop ends the term on this instance.
@@ -103,7 +103,8 @@
 	})
 }
 
-// run owns the engine until the term ends.
+// run passes the events to the engine and executes its actions until the term ends. Only
+// its goroutine uses the engine.
 func (l *leader) run(e *engine.Engine) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -149,11 +150,11 @@
 	}
 }
 
-// ask posts the event that event returns and waits for the engine's answer to it. ok is
+// ask posts the event that newEvent returns and waits for the engine's answer to it. ok is
 // false if ctx or the term ended first.
-func (l *leader) ask(ctx context.Context, event func(func(engine.Answer)) any) (answer engine.Answer, ok bool) {
+func (l *leader) ask(ctx context.Context, newEvent func(func(engine.Answer)) any) (answer engine.Answer, ok bool) {
 	answers := make(chan engine.Answer, 1)
-	l.post(event(func(a engine.Answer) {
+	l.post(newEvent(func(a engine.Answer) {
 		select {
 		case answers <- a:
 		default: // answered already
@@ -176,7 +177,7 @@
 }
 
 // liveFollowers returns the instances that pinged within followerTimeout and do not
-// drain, sorted by name.
+// drain, sorted by name. It removes the followers that did not ping in that time.
 func (l *leader) liveFollowers() []*follower {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -205,25 +206,27 @@
 }
 
 const (
-	// followersInterval is the delay between two updates of the list of followers.
+	// followersInterval is the delay between two evaluations of the followers by
+	// watchFollowers.
 	followersInterval = 200 * time.Millisecond
-	// storeRefusedHandoverDelay is how long every call of this leader to the store must
-	// have failed before an instance that reaches it takes over.
-	storeRefusedHandoverDelay = 500 * time.Millisecond
-	// storeNoAnswerHandoverDelay is the same for a store that does not answer. It is
-	// longer than a slow store takes to answer.
+	// storeFailingHandoverDelay is how long every call of this leader to the store must
+	// have failed before an instance that reaches the store takes over.
+	storeFailingHandoverDelay = 500 * time.Millisecond
+	// storeNoAnswerHandoverDelay is how long the store must have been without an answer
+	// to this leader before an instance that reaches the store takes over. It is longer
+	// than a slow store takes to answer.
 	storeNoAnswerHandoverDelay = time.Second
-	// storeNoAnswerProbeDelay is how long the store must not have answered before the
-	// leader, in its answers to pings, asks the other instances to probe it.
+	// storeNoAnswerProbeDelay is the time without an answer from the store after which
+	// the leader, in its answers to pings, asks the other instances to probe the store.
 	storeNoAnswerProbeDelay = 500 * time.Millisecond
-	// storeAnswerMargin is how much later than this leader a follower must have had its
-	// last answer from the store to take over. It is longer than the age of what pings
-	// report.
+	// storeAnswerMargin is by how much the store's last answer to a follower must be more
+	// recent than its last answer to this leader for the follower to take over. It is
+	// longer than the age of what pings report.
 	storeAnswerMargin = 400 * time.Millisecond
 )
 
-// watchFollowers keeps the engine's list of delegates up to date and hands over when an
-// instance is better placed to lead.
+// watchFollowers keeps the engine's list of delegates and the list of instances up to
+// date, and hands over if considerHandover finds an instance that should lead instead.
 func (l *leader) watchFollowers() {
 	var previous []string
 	for l.ctx.Err() == nil {
@@ -246,13 +249,13 @@
 
 // pollWorkers keeps the engine's list of workers up to date.
 func (l *leader) pollWorkers() {
-	sent := false // the engine has received a list in this term
+	posted := false // the first list is always posted, as prepare may have received none
 	for l.ctx.Err() == nil {
 		list, changed, err := l.pollOnce()
 		if err != nil {
 			l.noteStoreFailure(err)
-		} else if changed || !sent {
-			sent = true
+		} else if changed || !posted {
+			posted = true
 			l.post(&engine.WorkersListed{Workers: list})
 		}
 		wait.For(l.ctx, directoryPollInterval)
--- a/internal/cell/node/node.go
+++ b/internal/cell/node/node.go
@@ -75,7 +75,8 @@
 		settings: settings, ports: ports, log: log, stats: stats, incarnation: hex.EncodeToString(raw[:]),
 		peers: peer.NewPool(settings.Dial), startedAt: time.Now(), takeOverRequested: make(chan struct{}, 1), leaderDoubted: make(chan struct{}, 1), leaderChange: make(chan struct{}),
 	}
-	// Neither has answered yet; an hour is longer than all timeouts for answers.
+	// The store and the leader have not answered yet. An hour is longer than all
+	// timeouts for their answers.
 	n.storeAnsweredAt.Store(-int64(time.Hour))
 	n.leaderAnsweredAt.Store(-int64(time.Hour))
 	return n
@@ -129,7 +130,7 @@
 	return n.leading.Load() != nil || n.since(&n.leaderAnsweredAt) < readyWindow
 }
 
-// Drain makes the instance unready. It resigns if the instance leads.
+// Drain makes the instance unready. If the instance leads, it resigns.
 func (n *Node) Drain(ctx context.Context) {
 	n.draining.Store(true)
 	if l := n.leading.Load(); l != nil {
@@ -145,8 +146,8 @@
 // setNow sets t to the current time, in nanoseconds since startedAt.
 func (n *Node) setNow(t *atomic.Int64) { t.Store(int64(time.Since(n.startedAt))) }
 
-// setLeader records who leads and, if that is a change, notifies the requests that wait
-// for one.
+// setLeader records who leads and, if the leader or its term has changed, notifies the
+// requests that wait for a leader.
 func (n *Node) setLeader(rec *Leadership) {
 	previous := n.knownLeader.Swap(rec)
 	if previous != nil && rec != nil && previous.Session == rec.Session && previous.Term == rec.Term {
@@ -173,17 +174,18 @@
 	return n.leaderChange
 }
 
-// storeTimeout bounds one call to the store, other than appends and loads, or to the
-// directory. The store may be many times slower than usual.
+// storeTimeout bounds one call to the directory, and one call to the store that is
+// neither an append nor a load. The store may be many times slower than usual.
 const storeTimeout = 1500 * time.Millisecond
 
 // storeRetryDelay is the delay after a failed call to the store.
 const storeRetryDelay = 100 * time.Millisecond
 
-// storeUnreachableTimeout is how long the store must not have answered an instance to
-// count as unreachable from there. It is longer than the time between two answers of a
-// reachable store. An instance that cannot reach the store asks other instances first
-// who leads, and the leader does not hand over to it for its CPU share or when resigning.
+// storeUnreachableTimeout is the time without an answer from the store after which the
+// store counts as unreachable from an instance. It is longer than the time between two
+// answers of a reachable store. An instance that cannot reach the store asks other
+// instances first who leads, and the leader does not hand over to it for its CPU share or
+// when resigning.
 const storeUnreachableTimeout = 2 * time.Second
 
 // followOrCampaign finds out who leads and follows that leader, or campaigns if nobody
@@ -230,11 +232,11 @@
 	pingInterval = 200 * time.Millisecond
 	// pingTimeout bounds a ping.
 	pingTimeout = 300 * time.Millisecond
-	// minRefusedPings is how many pings in a row must find the leader's address
-	// refusing connections before its process counts as ended.
+	// minRefusedPings is how many connections for pings must have been refused since the
+	// leader's last answer before the leader's process counts as ended.
 	minRefusedPings = 2
-	// refusedPingDelay is the delay between two pings that have failed.
-	refusedPingDelay = 40 * time.Millisecond
+	// failedPingDelay is the delay after a ping that was refused or not answered.
+	failedPingDelay = 40 * time.Millisecond
 	// recordCheckDelay is how long the leader may leave pings unanswered before the
 	// store is read to see whether it still renews its leadership record.
 	recordCheckDelay = 300 * time.Millisecond
@@ -243,8 +245,10 @@
 	staleRecordTimeout = 900 * time.Millisecond
 )
 
-// follow pings the leader, whose record was read at offset, until another instance leads
-// or this one should try to.
+// follow pings the leader, whose record was read at offset, for as long as it leads. When
+// it has ended, stepped down or stopped renewing its record, or when this instance is
+// asked to take over, follow claims the leadership and, if it gets it, leads for the term.
+// It returns when the leader has to be determined again.
 func (n *Node) follow(ctx context.Context, rec *Leadership, offset int64) {
 	refused := 0
 	lastAnswer := time.Now()
@@ -268,17 +272,17 @@
 				n.campaignUnlessReplaced(ctx, rec, "the leader's process has ended")
 				return
 			}
-			wait.For(ctx, refusedPingDelay)
+			wait.For(ctx, failedPingDelay)
 			continue
 		}
 		if time.Since(lastAnswer) < recordCheckDelay {
-			wait.For(ctx, refusedPingDelay)
+			wait.For(ctx, failedPingDelay)
 			continue
 		}
 		current, currentOffset, next, found, err := n.readLeadership(ctx)
 		switch {
 		case err != nil:
-			return // other instances may know of another leader
+			return // followOrCampaign asks other instances, which may know of another leader
 		case !found || current.Session != rec.Session || current.Resigned:
 			return
 		case unchangedSince.IsZero() || currentOffset != lastOffset:
@@ -286,12 +290,12 @@
 				n.log.Warn("leader is not responding", "leader", rec.Instance, "term", rec.Term, "last_answer_ms", time.Since(lastAnswer).Milliseconds())
 			}
 			lastOffset, unchangedSince = currentOffset, time.Now()
-			wait.For(ctx, retryDelay)
+			wait.For(ctx, leaderRetryDelay)
 		case time.Since(unchangedSince) > staleRecordTimeout:
 			n.campaign(ctx, next, "the leader is not responding and does not renew its leadership record")
 			return
 		default:
-			wait.For(ctx, retryDelay)
+			wait.For(ctx, leaderRetryDelay)
 		}
 	}
 }
@@ -306,7 +310,7 @@
 	case <-ctx.Done():
 	case <-t.C:
 	case <-n.leaderDoubted:
-		wait.For(ctx, retryDelay) // many requests may find it at the same time
+		wait.For(ctx, leaderRetryDelay) // bounds the rate of pings when many requests find it
 	case <-n.takeOverRequested:
 		return true
 	}
@@ -328,7 +332,7 @@
 	n.campaign(ctx, next, reason)
 }
 
-// claimWithoutDelay claims the leadership without the delay of a campaign.
+// claimWithoutDelay claims the leadership without the delay that campaign waits for.
 func (n *Node) claimWithoutDelay(ctx context.Context, reason string) {
 	_, _, next, _, err := n.readLeadership(ctx)
 	if err != nil {
@@ -340,11 +344,12 @@
 
 const (
 	// campaignDelay is how long an instance with a whole core waits before it claims
-	// the leadership. The delay is inversely proportional to the CPU share, so that
+	// the leadership, plus a random time of at most campaignDelay. The fixed part is
+	// inversely proportional to the CPU share, which counts as 0.1 to 1 core, so that
 	// instances with much CPU lead.
 	campaignDelay = 25 * time.Millisecond
 	// lowCPUCampaignDelay is added for an instance with much less CPU than others of the
-	// cell. These notice within two pings that the leader has ended.
+	// cell. The others notice within two pings that the leader has ended.
 	lowCPUCampaignDelay = time.Second
 	// drainingPollInterval is the delay between two reads of the leadership record by an
 	// instance that drains: it does not lead any more but still forwards requests.
@@ -354,8 +359,9 @@
 	lowCPUPollInterval = 100 * time.Millisecond
 )
 
-// campaign claims the leadership at offset next after a delay that leaves it to instances
-// with more CPU. An instance that drains does not claim it.
+// campaign claims the leadership at offset next after a delay that is longer the less CPU
+// the instance has. The claim fails if another instance has written the record since.
+// An instance that drains does not claim it.
 func (n *Node) campaign(ctx context.Context, next int64, reason string) {
 	if n.draining.Load() {
 		wait.For(ctx, drainingPollInterval)
--- a/internal/cell/node/node_test.go
+++ b/internal/cell/node/node_test.go
@@ -103,7 +103,7 @@
 // An instance that cannot reach the store learns from the others who leads after the
 // leader that it followed has ended.
 func TestInstanceWithoutStoreFindsNextLeader(t *testing.T) {
-	for name, mode := range map[string]storeMode{"refused": storeRefuses, "silent": storeNoAnswer} {
+	for name, mode := range map[string]storeMode{"refused": storeRefuses, "no answer": storeNoAnswer} {
 		t.Run(name, func(t *testing.T) {
 			runCluster(t, 7, func(t *testing.T, c *cluster) {
 				withoutStore := c.follower()
@@ -120,7 +120,7 @@
 
 // The store refuses the leader and two of the other eight instances. They find the next
 // leader without it.
-func TestDeposedLeaderFollowsSuccessorWithoutStore(t *testing.T) {
+func TestFormerLeaderFollowsSuccessorWithoutStore(t *testing.T) {
 	runCluster(t, 9, func(t *testing.T, c *cluster) {
 		old := c.leader()
 		refused := []*member{old}
@@ -142,10 +142,10 @@
 func TestDrainedLeaderIsReplaced(t *testing.T) {
 	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		old := c.leader()
-		begun := time.Now()
+		start := time.Now()
 		old.Drain(context.Background())
 		submitWithin(t, c.follower(), "next", 100*time.Millisecond) // without waiting for the next ping
-		assert.Less(t, time.Since(begun), 100*time.Millisecond)
+		assert.Less(t, time.Since(start), 100*time.Millisecond)
 		assert.NotSame(t, old, c.leader())
 		time.Sleep(100 * time.Millisecond)
 		assert.False(t, old.Ready())
@@ -153,7 +153,7 @@
 	})
 }
 
-// A request without a leader is refused within noLeaderTimeout, as not run.
+// A request without a leader is refused within noLeaderTimeout, with the verdict NotRun.
 func TestRequestWithoutLeaderIsRefused(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		m := c.follower()
@@ -162,14 +162,14 @@
 		}
 		c.kill(c.leader())
 		time.Sleep(time.Second)
-		begun := time.Now()
+		start := time.Now()
 		_, err := m.Submit(context.Background(), spec("none"))
 		require.Error(t, err)
 		var e *verdict.Error
 		require.ErrorAs(t, err, &e)
 		assert.Equal(t, verdict.NotRun, e.Verdict)
 		assert.Positive(t, e.RetryAfter)
-		assert.LessOrEqual(t, time.Since(begun), noLeaderTimeout+100*time.Millisecond)
+		assert.LessOrEqual(t, time.Since(start), noLeaderTimeout+100*time.Millisecond)
 	})
 }
 
@@ -195,10 +195,10 @@
 	})
 }
 
-// After a store outage that all instances see, the leader goes on leading and does not
-// hand over.
+// After a store outage for all instances, the leader continues to lead and does not hand
+// over.
 func TestLeaderStaysAfterStoreOutage(t *testing.T) {
-	for name, mode := range map[string]storeMode{"refused": storeRefuses, "silent": storeNoAnswer} {
+	for name, mode := range map[string]storeMode{"refused": storeRefuses, "no answer": storeNoAnswer} {
 		t.Run(name, func(t *testing.T) {
 			runCluster(t, 3, func(t *testing.T, c *cluster) {
 				for i := range 6 {
@@ -250,7 +250,7 @@
 		}
 		for i := range 20 {
 			_, err := c.follower().Submit(callerContext(t), spec(fmt.Sprintf("job-%d", i)))
-			t.Log(err)
+			t.Log("submitted while the store is slow:", err)
 			time.Sleep(300 * time.Millisecond)
 		}
 		assert.Same(t, old, c.leader())
@@ -258,7 +258,7 @@
 }
 
 // An instance leads a second time. Its directory reports no change since its first term,
-// but the second term must know the workers too.
+// but the engine of the second term must receive the list of workers too.
 func TestInstanceLeadsTwice(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		first := c.leader()
--- a/internal/cell/node/peers.go
+++ b/internal/cell/node/peers.go
@@ -7,16 +7,17 @@
 	"slices"
 )
 
-// instanceList lists the addresses at which the instances of the cell listen for peers,
-// as the leader last sent them. An instance that cannot reach the store uses it to learn
-// from the others who leads.
+// instanceList lists the addresses at which the live followers of the leader, without
+// those that drain, listen for peers, as the leader last sent them. An instance that
+// cannot reach the store uses it to learn from the others who leads.
 type instanceList struct {
 	Version   uint64 // hash of the addresses
 	Addresses []string
-	Strongest float64 // largest CPU share of the instances, in cores
+	Strongest float64 // largest CPU share of these instances and the leader, in cores
 }
 
-// newInstanceList lists the instances in live. ownShare is the CPU share of this one.
+// newInstanceList returns the list of the instances in live. ownShare is the CPU share of
+// this instance.
 func newInstanceList(live []*follower, ownShare float64) *instanceList {
 	list := &instanceList{Strongest: maxCPUShare(live, ownShare)}
 	hash := fnv.New64a()
@@ -42,8 +43,8 @@
 }
 
 const (
-	// maxPeersAsked is how many other instances are asked at a time who leads: enough
-	// that at least one should reach the store when some of them cannot.
+	// maxPeersAsked is how many other instances are asked at a time who leads. With this
+	// many, one that reaches the store is likely among them when some instances cannot.
 	maxPeersAsked = 3
 	// unknownOffset stands for the offset of a leadership record that was learned from
 	// another instance.
@@ -85,8 +86,9 @@
 	return newest
 }
 
-// followPeers follows the leader without reading the store, if the leader answers this
-// instance or another one that is asked. It reports whether it has followed a leader.
+// followPeers follows the leader without first reading the leadership record, if the
+// leader answers this instance or another one that is asked. It reports whether it has
+// followed a leader.
 func (n *Node) followPeers(ctx context.Context) bool {
 	rec := n.knownLeader.Load()
 	if rec == nil || rec.Session == n.incarnation || n.ping(ctx, rec) != pingLeads {
--- a/internal/cell/node/ports.go
+++ b/internal/cell/node/ports.go
@@ -68,15 +68,16 @@
 	Renew(ctx context.Context, fence int64, renewal *engine.Renew) *engine.RenewalAnswered
 }
 
-// Adviser is asked which workers may run a step.
+// Adviser recommends workers for a step.
 type Adviser interface {
-	// Advise returns a ticket for each good worker, by worker ID, and how long the
-	// tickets last.
+	// Advise returns a ticket for each of the workers that it recommends, by worker id,
+	// and how long the tickets are valid.
 	Advise(ctx context.Context, step string, workers []string) (good map[string]string, ttl time.Duration, err error)
 }
 
 // Policies provides the operators' declarations.
 type Policies interface {
-	// Watch calls f with each newer version until ctx ends.
+	// Watch calls f with the current version and with each later one until ctx ends. It
+	// may call f with the same version again.
 	Watch(ctx context.Context, f func(*policy.Policy))
 }
--- a/internal/cell/node/requests.go
+++ b/internal/cell/node/requests.go
@@ -15,41 +15,43 @@
 )
 
 const (
-	// noLeaderTimeout is how long a request waits for a leader. If a takeover takes
-	// longer, the caller should retry rather than the request wait here.
+	// noLeaderTimeout is how long a request waits for a leader. After that it is refused,
+	// so that the caller retries.
 	noLeaderTimeout = 300 * time.Millisecond
-	// noLeaderRetryDelay is after how long a caller should then retry: about the time
-	// that a takeover takes.
+	// noLeaderRetryDelay is the delay after which a refused caller should retry: about
+	// the time that a takeover takes.
 	noLeaderRetryDelay = time.Second
 	// maxLeaderAnswerAge is how long after its last answer to a ping the leader is still
 	// sent requests.
 	maxLeaderAnswerAge = pingInterval + pingTimeout
-	// retryDelay is the delay between two attempts to reach the leader.
-	retryDelay = 25 * time.Millisecond
+	// leaderRetryDelay is the delay before a request, a ping or a read of the leadership
+	// record is repeated while it is uncertain who leads.
+	leaderRetryDelay = 25 * time.Millisecond
 )
 
-// Submit submits a job to the leader. Errors carry a verdict.
+// Submit submits a job to the leader. An error is a *verdict.Error.
 func (n *Node) Submit(ctx context.Context, spec *job.Spec) (engine.Answer, error) {
 	return n.request(ctx, "Submit", &SubmitArgs{Spec: spec}, func(answer func(engine.Answer)) any {
 		return &engine.Submit{Spec: spec, Reply: answer}
 	})
 }
 
-// Cancel cancels a job of team. Errors carry a verdict.
+// Cancel cancels a job of team. An error is a *verdict.Error.
 func (n *Node) Cancel(ctx context.Context, id, team string) (engine.Answer, error) {
 	return n.request(ctx, "Cancel", &JobArgs{ID: id, Team: team}, func(answer func(engine.Answer)) any {
 		return &engine.Cancel{ID: id, Team: team, Reply: answer}
 	})
 }
 
-// Status returns the status of a job of team. Errors carry a verdict.
+// Status returns the status of a job of team. An error is a *verdict.Error.
 func (n *Node) Status(ctx context.Context, id, team string) (engine.Answer, error) {
 	return n.request(ctx, "Status", &JobArgs{ID: id, Team: team}, func(answer func(engine.Answer)) any {
 		return &engine.Status{ID: id, Team: team, Reply: answer}
 	})
 }
 
-// Pending returns how many jobs of a queue have not started. Errors carry a verdict.
+// Pending returns how many jobs of a queue have not started. An error is a
+// *verdict.Error.
 func (n *Node) Pending(ctx context.Context, queue string) (engine.Answer, error) {
 	return n.request(ctx, "Pending", &QueueArgs{Queue: queue}, func(answer func(engine.Answer)) any {
 		return &engine.Pending{Queue: queue, Reply: answer}
@@ -58,12 +60,12 @@
 
 // request gets the leader's answer to a request. All requests are idempotent by the
 // job's id, so one whose answer was lost is sent again, also to the next leader.
-func (n *Node) request(ctx context.Context, method string, args any, event func(func(engine.Answer)) any) (engine.Answer, error) {
+func (n *Node) request(ctx context.Context, method string, args any, newEvent func(func(engine.Answer)) any) (engine.Answer, error) {
 	start := time.Now()
 	inDoubt := false
 	for {
 		leaderChange := n.leaderChanged()
-		answer, sent, ok := n.attempt(ctx, leaderChange, method, args, event)
+		answer, sent, ok := n.attempt(ctx, leaderChange, method, args, newEvent)
 		if ok {
 			return answer, nil
 		}
@@ -74,12 +76,12 @@
 		if !inDoubt && time.Since(start) > noLeaderTimeout {
 			return engine.Answer{}, noAnswerError(false, verdict.CodeUnavailable, "no leader in reach")
 		}
-		wait.Until(ctx, leaderChange, retryDelay)
+		wait.Until(ctx, leaderChange, leaderRetryDelay)
 	}
 }
 
-// noAnswerError returns the error for a request that got no answer. inDoubt tells whether
-// it may have had an effect; code is the one to use if it cannot have had any.
+// noAnswerError returns the error for a request that got no answer. inDoubt reports
+// whether it may have had an effect; code is the one to use if it cannot have had any.
 func noAnswerError(inDoubt bool, code verdict.Code, message string) error {
 	if inDoubt {
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Code: verdict.CodeInDoubt, Message: message}
@@ -90,9 +92,9 @@
 // attempt sends the request to the leader once, unless no leader is known or it has not
 // answered pings lately. sent reports whether the request may have had an effect, ok
 // whether it was answered. A change of the leader aborts the call to it.
-func (n *Node) attempt(ctx context.Context, leaderChange <-chan struct{}, method string, args any, event func(func(engine.Answer)) any) (answer engine.Answer, sent, ok bool) {
+func (n *Node) attempt(ctx context.Context, leaderChange <-chan struct{}, method string, args any, newEvent func(func(engine.Answer)) any) (answer engine.Answer, sent, ok bool) {
 	if l := n.leading.Load(); l != nil {
-		answer, ok = l.ask(ctx, event)
+		answer, ok = l.ask(ctx, newEvent)
 		return answer, true, ok
 	}
 	rec := n.knownLeader.Load()
--- a/internal/cell/node/service.go
+++ b/internal/cell/node/service.go
@@ -50,9 +50,10 @@
 	Session string        // incarnation of the instance
 	Leading bool          // it leads, or has claimed the leadership and prepares to lead
 	Policy  int64         // version of the declarations in force there
-	Others  *instanceList // nil if the pinging instance has this version or the pinged one does not lead
-	// StoreAway reports that the leader cannot reach the store and would hand over to
-	// an instance that can.
+	Others  *instanceList // nil if the pinging instance has the leader's version, or the pinged one does not lead
+	// StoreAway reports that the leader's last call to the store failed or that the store
+	// has not answered it for storeNoAnswerProbeDelay. The pinging instance then probes
+	// the store, so that the leader learns whether it could hand over to it.
 	StoreAway bool
 }
 
@@ -65,7 +66,7 @@
 
 // AdviseReply is the adviser's answer.
 type AdviseReply struct {
-	Good map[string]string // ticket of each good worker
+	Good map[string]string // ticket of each worker that the adviser recommends, by worker id
 	TTL  time.Duration     // how long the tickets last
 }
 
@@ -97,20 +98,21 @@
 	})
 }
 
-// errDeposed is returned for a request that the leader has taken but not answered when
-// its term ends.
-var errDeposed = errors.New("the leader stepped down before it answered")
+// errTermEnded is returned for a request that the leader has received but not answered
+// when its term ends.
+var errTermEnded = errors.New("the leader stepped down before it answered")
 
-// answerLocally has the engine of this instance answer, if it leads.
-func (s *Service) answerLocally(reply *Reply, event func(func(engine.Answer)) any) error {
+// answerLocally sets reply to the answer of this instance's engine to the event that
+// newEvent returns, or to NotLeading if the instance does not lead.
+func (s *Service) answerLocally(reply *Reply, newEvent func(func(engine.Answer)) any) error {
 	l := s.n.leading.Load()
 	if l == nil {
 		reply.NotLeading = true
 		return nil
 	}
-	answer, ok := l.ask(context.Background(), event)
+	answer, ok := l.ask(context.Background(), newEvent)
 	if !ok {
-		return errDeposed
+		return errTermEnded
 	}
 	reply.Answer = answer
 	return nil
@@ -125,7 +127,7 @@
 		reply.Policy = p.Version
 	}
 	l := n.leading.Load()
-	reply.Leading = l != nil || n.preparing() || n.claiming.Load()
+	reply.Leading = l != nil || n.leadsOrPrepares() || n.claiming.Load()
 	if l != nil {
 		l.recordPing(args)
 		if known := n.cellInstances.Load(); known != nil && known.Version != args.Others {
@@ -161,7 +163,7 @@
 func (s *Service) TakeOver(_ *struct{}, _ *struct{}) error {
 	select {
 	case s.n.takeOverRequested <- struct{}{}:
-	default: // asked already
+	default: // an earlier call has not been handled yet
 	}
 	return nil
 }
@@ -183,10 +185,10 @@
 type pingResult uint8
 
 const (
-	pingNoAnswer   pingResult = iota
-	pingLeads                 // the leader answers
-	pingNotLeading            // another process, or one that does not lead, answers
-	pingRefused               // no process listens there
+	pingNoAnswer   pingResult = iota // the ping timed out, or its connection failed
+	pingLeads                        // the leader answers
+	pingNotLeading                   // another process, or one that does not lead, answers
+	pingRefused                      // no process listens at the leader's address
 )
 
 // ping asks the leader whether it still leads, and exchanges versions of the declarations
@@ -221,7 +223,7 @@
 	if reply.StoreAway {
 		// The next ping reports the result of this probe in its StoreAge.
 		if _, _, _, _, err := n.readLeadership(ctx); err != nil {
-			n.log.Info("store does not answer this instance either", "leader", rec.Instance, "reason", err.Error())
+			n.log.Info("the store answers neither this instance nor the leader", "leader", rec.Instance, "reason", err.Error())
 		}
 	}
 	if reply.Policy > args.Policy {
--- a/internal/cell/node/stats.go
+++ b/internal/cell/node/stats.go
@@ -6,7 +6,7 @@
 	"pollenbend/internal/metrics"
 )
 
-// Stats are the counters and histograms of one instance.
+// Stats are the counters and timers of one instance.
 type Stats struct {
 	Registry gometrics.Registry
 	Events   gometrics.Counter // events handled by the engine
@@ -29,7 +29,8 @@
 	}
 }
 
-// Answer counts an answer to a caller and returns the timer of its kind.
+// Answer returns the timer of the answers to callers with this method and status. It
+// registers the timer at the first call.
 func (s *Stats) Answer(method, status string) gometrics.Timer {
 	name := metrics.Name("cell_answer_seconds", metrics.Label{Name: "method", Value: method}, metrics.Label{Name: "status", Value: status})
 	return gometrics.GetOrRegisterTimer(name, s.Registry)
--- a/internal/cell/node/term.go
+++ b/internal/cell/node/term.go
@@ -27,6 +27,7 @@
 	config := l.n.settings.Engine
 	config.Term = l.rec.Term
 	e := engine.New(config, l.n.log, wallClock, time.Now())
+	// Without this list, the engine gets the first one from pollWorkers.
 	if list, _, err := l.pollOnce(); err == nil {
 		e.Handle(time.Now(), &engine.WorkersListed{Workers: list})
 	}
@@ -106,8 +107,9 @@
 	return nil
 }
 
-// renewLeadership rewrites the leadership record at intervals until the term ends. next
-// is the offset of the next record.
+// renewLeadership rewrites the leadership record every leadershipRenewInterval until the
+// term ends. It ends the term if another instance has claimed the leadership. next is the
+// offset of the next record.
 func (l *leader) renewLeadership(next int64) {
 	l.noteStoreAnswer()
 	rec := l.rec
@@ -141,7 +143,8 @@
 	}
 }
 
-// noteStoreAnswer records that a call to the store has succeeded.
+// noteStoreAnswer records that a call to the store has succeeded, and posts
+// StoreRecovered if earlier calls had failed.
 func (l *leader) noteStoreAnswer() {
 	l.n.setNow(&l.n.storeAnsweredAt)
 	if l.storeFailingSince.Swap(0) != 0 {
@@ -173,6 +176,6 @@
 		err = l.n.ports.Store.WriteLeadership(ctx, rec, next)
 	}
 	if err != nil {
-		l.n.log.Warn("cannot resign", "term", l.rec.Term, "reason", err.Error())
+		l.n.log.Warn("cannot write the resignation; the term has ended on this instance", "term", l.rec.Term, "reason", err.Error())
 	}
 }
