--- a/internal/cell/admission/admission.go
+++ b/internal/cell/admission/admission.go
@@ -12,7 +12,7 @@
 	Free                float64 // cores that no task occupies
 	WaitingCores        float64 // cores of the waiting tasks that are ahead of the job
 	WaitingCoreSeconds  float64 // core-seconds of work of these tasks
-	HigherPriorityCores float64 // cores that newly arriving work of higher priority occupies
+	HigherPriorityCores float64 // expected number of cores that newly arriving work of higher priority occupies
 	BackfillCores       float64 // free cores that tasks like the job's can use and no waiting task can
 }
 
@@ -36,7 +36,7 @@
 	// minCapacityRatio is the part of the fleet that work of low priority is assumed
 	// to get, however much work of higher priority arrives.
 	minCapacityRatio = 0.15
-	// packingRatio is the part of the fleet's cores that tasks of different sizes occupy.
+	// packingRatio is the part of a full fleet's cores that tasks of different sizes occupy.
 	packingRatio = 0.9
 	// overEntitlementMaxWait is the maximum expected wait at which a job that exceeds
 	// its team's entitlement is still accepted. A shorter wait means that the fleet has
@@ -53,6 +53,7 @@
 		return Decision{Reason: "no worker is usable", RetryAfter: minRetryDelay}
 	}
 	rate := max(l.Capacity*packingRatio-l.HigherPriorityCores, l.Capacity*minCapacityRatio)
+	// A job that fits into free cores beside the waiting tasks does not wait.
 	wait := time.Duration(0)
 	if l.WaitingCores > l.Free && j.Cores >= l.BackfillCores {
 		wait = time.Duration(l.WaitingCoreSeconds / rate * float64(time.Second))
--- a/internal/cell/advice/advice.go
+++ b/internal/cell/advice/advice.go
@@ -9,11 +9,11 @@
 // LongCallThreshold is the minimum duration of a long call.
 const LongCallThreshold = 250 * time.Millisecond
 
-// ShortOnlyRatio is the part of the delegates that is reserved for short calls.
-const ShortOnlyRatio = 1.0 / 3
+// shortOnlyRatio is the part of the delegates that is reserved for short calls.
+const shortOnlyRatio = 1.0 / 3
 
-// Maximum work that a delegate may have queued for it to get another short or long
-// call. A call that would wait longer is better sent later, when more is known.
+// Maximum wait of a short or long call at its delegate. A call that would wait longer is
+// not sent yet, as more is known later.
 const (
 	maxShortBacklog = 60 * time.Millisecond
 	maxLongBacklog  = 300 * time.Millisecond
@@ -24,7 +24,7 @@
 type Delegate struct {
 	busyUntil    time.Time // expected end of the calls sent
 	calls        int       // calls that have not ended
-	backoffUntil time.Time
+	backoffUntil time.Time // no calls are sent before this time
 }
 
 // failureBackoff is how long a delegate gets no calls after one of its calls failed.
@@ -39,7 +39,8 @@
 	d.calls++
 }
 
-// CallEnded records that a call ended at now, and whether it succeeded.
+// CallEnded records that a call ended at now, and whether it succeeded. cost is not
+// used.
 func (d *Delegate) CallEnded(now time.Time, cost time.Duration, ok bool) {
 	d.calls = max(0, d.calls-1)
 	if d.calls == 0 {
@@ -51,14 +52,14 @@
 }
 
 // Choose returns the index of the delegate for a call of the expected duration cost:
-// the one with the shortest wait. It returns -1 if every delegate has too much work
-// queued or is in backoff.
+// the one with the shortest wait. It returns -1 if every delegate that may take the call
+// has too long a wait or is in backoff.
 func Choose(delegates []*Delegate, now time.Time, cost time.Duration) int {
 	long := cost >= LongCallThreshold
 	firstAllowed := 0
 	maxBacklog := maxShortBacklog
 	if long {
-		firstAllowed = int(float64(len(delegates))*ShortOnlyRatio + 0.5)
+		firstAllowed = int(float64(len(delegates))*shortOnlyRatio + 0.5)
 		maxBacklog = maxLongBacklog
 	}
 	best, minWait := -1, time.Duration(0)
--- a/internal/cell/job/job.go
+++ b/internal/cell/job/job.go
@@ -77,7 +77,7 @@
 }
 
 // Charge returns the part of a worker's capacity that one task of the step
-// occupies. The CPU of a filler is not counted.
+// occupies. The CPU of a filler is not counted, as it is CPU that other tasks leave idle.
 func (s *Step) Charge() Resources {
 	if s.Filler {
 		return Resources{MemMB: s.Need.MemMB, GPU: s.Need.GPU}
@@ -109,7 +109,7 @@
 // Limits of a valid Spec.
 const (
 	MaxSteps   = 64
-	MaxTasks   = 10_000 // tasks of a step, and occurrences of a job
+	MaxTasks   = 10_000 // maximum number of tasks of a step, and of occurrences of a job
 	MaxPayload = 4_000  // bytes
 )
 
--- a/internal/cell/policy/policy.go
+++ b/internal/cell/policy/policy.go
@@ -47,7 +47,7 @@
 type Team struct {
 	Name   string
 	Keys   []string      // keys that authorize calls
-	Weight float64       // fair share of a full fleet, and jobs a second that the team is entitled to
+	Weight float64       // jobs per second that the team is entitled to while the fleet is full
 	Limit  job.Resources // maximum resources of its running tasks; a zero resource has no limit
 }
 
--- a/internal/cell/record/record.go
+++ b/internal/cell/record/record.go
@@ -50,15 +50,15 @@
 type Task struct {
 	_           struct{} `cbor:",toarray"`
 	Done        bool
-	Run         int    // number of the latest run
+	Run         int    // sequence number of the latest run
 	Failures    int    // number of runs that failed
 	Worker      string // worker that got the latest run; empty once the end of the run is known
 	Incarnation int64  // incarnation of Worker
 	Checkpoint  string
 }
 
-// Step is the progress of the tasks of a step. SpeculativeRuns is indexed by
-// task. GoodWorkers holds the workers that the adviser recommended and Asked those
+// Step is the progress of the tasks of a step. The keys of SpeculativeRuns are indexes
+// of tasks. GoodWorkers holds the workers that the adviser recommended and Asked those
 // that it was asked about. Both are kept while tasks wait, as advice is slow to get.
 type Step struct {
 	Tasks           []Task       `cbor:"1,keyasint"`
--- a/internal/cell/record/record_test.go
+++ b/internal/cell/record/record_test.go
@@ -10,7 +10,7 @@
 	"pollenbend/internal/cell/job"
 )
 
-func TestNames(t *testing.T) {
+func TestNameSet(t *testing.T) {
 	var n NameSet
 	for i := range 350 {
 		n.Add(fmt.Sprintf("worker-%d", i))
