--- a/internal/service/gateway/gateway.go
+++ b/internal/service/gateway/gateway.go
@@ -26,8 +26,8 @@
 	Authorize(key, queue string) (model.TeamID, string, *verdict.Error)
 	// AuthorizeOperator returns the name of an operator's key.
 	AuthorizeOperator(key string) (string, *verdict.Error)
-	// Fresh reports whether this instance's declarations are recent enough to accept
-	// work.
+	// Fresh reports whether the declarations known to this instance are recent enough to
+	// accept work.
 	Fresh() bool
 	// Change appends a change to the log and responds to the handle with its result.
 	Change(handle uint64, author string, c model.Change)
@@ -37,8 +37,11 @@
 
 // Ownership returns the owners of shards.
 type Ownership interface {
+	// Owner returns a shard's owner and term, or false if it has never had an owner.
 	Owner(model.Shard) (ownership.ShardOwner, bool)
+	// Owned returns the shards that this instance owns and their terms.
 	Owned() []wire.ShardTerm
+	// ShardOwners returns the owners by shard; the term of a shard without one is 0.
 	ShardOwners() [model.Shards]ownership.ShardOwner
 }
 
@@ -93,11 +96,11 @@
 	answerGracePeriod = 300 * time.Millisecond
 	// rerouteDelay is the delay before a request is routed again.
 	rerouteDelay = 100 * time.Millisecond
-	maxReroutes  = 20
-	// retryAfter is the delay that refused callers are asked to wait for.
+	maxReroutes  = 20 // of a request
+	// retryAfter is the delay after which refused callers are asked to retry.
 	retryAfter = time.Second
-	maxPending = 20000
-	maxTickets = 1000
+	maxPending = 20000 // requests of this instance without a final answer
+	maxTickets = 1000  // of one call
 )
 
 // New returns a gateway without requests.
@@ -156,9 +159,9 @@
 	if refusal != nil {
 		return refusal
 	}
-	takesWork := r.Op == model.OpCall || r.Op == model.OpSubmit
+	submitsWork := r.Op == model.OpCall || r.Op == model.OpSubmit
 	if r.ID == "" {
-		if !takesWork {
+		if !submitsWork {
 			return verdict.Refuse(verdict.CodeBadRequest, "an id is required")
 		}
 		id, ok := s.newTicket()
@@ -369,7 +372,7 @@
 	Live     []wire.Owner             `json:"live"`
 	Shards   map[model.InstanceID]int `json:"shards"`
 	Workers  []model.WorkerID         `json:"workers"`
-	Covered  int                      `json:"covered"`
+	Covered  int                      `json:"covered"` // number of workers in the coverage
 	Free     model.Resources          `json:"free"`
 	Leaving  bool                     `json:"leaving"`
 	Open     int                      `json:"open_requests"`
--- a/internal/service/ledger/dispatch.go
+++ b/internal/service/ledger/dispatch.go
@@ -68,7 +68,7 @@
 }
 
 // isStale reports whether d comes from an earlier shard owner or was fenced by a
-// Locate.
+// Locate. It records d's term as the highest seen if it is.
 func (s *Service) isStale(d wire.Dispatch) bool {
 	shard := model.ShardOfTask(d.Task.ID)
 	if d.Term < s.maxTerms[shard] {
@@ -238,8 +238,8 @@
 	return true
 }
 
-// Coverage returns the workers whose state is known here at this moment. The usage
-// reported in the same heartbeat includes every worker that the coverage lists.
+// Coverage returns the workers that are leased at this moment and whose state is known.
+// The usage reported in the same heartbeat includes every worker that the coverage lists.
 func (s *Service) Coverage() wire.Coverage {
 	s.refreshCoverage()
 	return s.coverage
--- a/internal/service/ledger/freshness.go
+++ b/internal/service/ledger/freshness.go
@@ -19,7 +19,7 @@
 	// minListings is the number of listings required after a pause: the first may
 	// have been requested before the pause.
 	minListings = 2
-	// listingTimeout bounds the wait for them while the list is unavailable.
+	// listingTimeout bounds the wait for these listings while the list is unavailable.
 	listingTimeout = 6 * time.Second
 )
 
--- a/internal/service/ledger/gang.go
+++ b/internal/service/ledger/gang.go
@@ -14,17 +14,17 @@
 		return out
 	}
 	team := m.Tasks[0].Team
-	others := s.gangHoldCount(team)
+	otherHolds := s.gangHoldCount(team)
 	for i := range m.Tasks {
 		t := &m.Tasks[i]
 		if _, own := s.placement.gangHolds[t.ID]; own && s.isHeld(t.ID) {
-			others--
+			otherHolds--
 		}
 		if s.holdTask(t, m) {
 			out.Tasks = append(out.Tasks, t.ID)
 		}
 	}
-	allowed := s.limits.StartableTasks(team, others+int64(len(out.Tasks))) - others
+	allowed := s.limits.StartableTasks(team, otherHolds+int64(len(out.Tasks))) - otherHolds
 	for int64(len(out.Tasks)) > max(allowed, 0) {
 		last := len(out.Tasks) - 1
 		s.releaseHold(out.Tasks[last])
@@ -34,6 +34,8 @@
 	return out
 }
 
+// holdTask reserves resources for a task on a held worker, or extends its reservation.
+// It reports whether resources are reserved now.
 func (s *Service) holdTask(t *model.Task, m wire.HoldTasks) bool {
 	shard := model.ShardOfTask(t.ID)
 	if _, known := s.lookup(t.ID); known || m.Term < s.maxTerms[shard] {
--- a/internal/service/ledger/ledger.go
+++ b/internal/service/ledger/ledger.go
@@ -26,6 +26,7 @@
 type Ownership interface {
 	// OwnedTerm returns the term of a shard that this instance owns.
 	OwnedTerm(model.Shard) (term uint64, ok bool)
+	// Owner returns a shard's owner and term, or false if it has never had an owner.
 	Owner(model.Shard) (ownership.ShardOwner, bool)
 }
 
@@ -40,8 +41,8 @@
 	MayStart(model.TeamID) bool
 	// StartableTasks returns how many of the wanted tasks of a team may start here.
 	StartableTasks(team model.TeamID, wanted int64) int64
-	// ReduceCeiling records that a task of the team may still run on a worker that this
-	// instance no longer holds.
+	// ReduceCeiling reduces by one the number of tasks that the team may run on the
+	// workers held here: a task may still run on a worker that is no longer held.
 	ReduceCeiling(model.TeamID)
 }
 
@@ -230,8 +231,8 @@
 	s.reportShard(m.Shard)
 }
 
-// releaseWorker gives up a worker's lease, so that the next holder need not wait
-// until it expires.
+// releaseWorker releases a worker's lease, so that the next holder need not wait until
+// it expires.
 func (s *Service) releaseWorker(w *worker) {
 	if w.leased(s.env.Now()) {
 		s.env.Emit(event.Renew{Worker: w.info, Request: platform.RenewRequest{Lease: s.leaseRef(w), Release: true}})
--- a/internal/service/ledger/placement.go
+++ b/internal/service/ledger/placement.go
@@ -45,10 +45,10 @@
 	}
 }
 
-func (p *placement) setLeased(id model.WorkerID, held bool) {
+func (p *placement) setLeased(id model.WorkerID, leased bool) {
 	// SetReasons fails only for a worker that is not in the fleet, which
 	// receives no tasks anyway.
-	_ = p.scheduler.Fleet.SetReasons(id, fleet.ReasonNoLease, !held)
+	_ = p.scheduler.Fleet.SetReasons(id, fleet.ReasonNoLease, !leased)
 }
 
 // preempt stops less important tasks to free resources for an urgent one. The urgent
--- a/internal/service/ledger/worker.go
+++ b/internal/service/ledger/worker.go
@@ -82,6 +82,8 @@
 	}
 }
 
+// renew sends a renewal to a worker. Unless it asks for a full report, the worker may
+// delay its answer for a quarter of the lease.
 func (s *Service) renew(w *worker) {
 	full := w.needFullReport || !w.stateKnown
 	req := platform.RenewRequest{
--- a/internal/service/requests/dispatch.go
+++ b/internal/service/requests/dispatch.go
@@ -74,10 +74,10 @@
 			}
 		}
 	}
-	remaining := usage.Sub(s.queue.Accounts.Account(team).Local())
+	elsewhere := usage.Sub(s.queue.Accounts.Account(team).Local())
 	return model.Resources{
-		MilliCPU: max(remaining.MilliCPU, 0), MemoryMiB: max(remaining.MemoryMiB, 0),
-		Slots: max(remaining.Slots, 0), Accelerators: max(remaining.Accelerators, 0),
+		MilliCPU: max(elsewhere.MilliCPU, 0), MemoryMiB: max(elsewhere.MemoryMiB, 0),
+		Slots: max(elsewhere.Slots, 0), Accelerators: max(elsewhere.Accelerators, 0),
 	}
 }
 
@@ -300,8 +300,8 @@
 
 // shouldRunAgain reports whether an ended task is to be run again. A service task
 // always is, unless canceled. Any other task must be repeatable and must have been
-// stopped, failed or ended incompletely. A job's task that was stopped always runs
-// again; otherwise a task runs at most maxRuns times, and a request's task not after
+// stopped, have failed or have no complete answer. A job's task that was stopped always
+// runs again; otherwise a task runs at most maxRuns times, and a request's task not after
 // its deadline.
 func (s *Service) shouldRunAgain(e *entry, out model.Outcome) bool {
 	switch {
--- a/internal/service/requests/entry.go
+++ b/internal/service/requests/entry.go
@@ -16,7 +16,9 @@
 	phaseWaiting
 	phaseDispatched
 	phaseRunning
-	phaseBackoff // the last run ended; the task runs again after a delay
+	// phaseBackoff means that the last run ended and the task runs again after a delay.
+	// A task of a gang waits until its gang runs again or is aborted.
+	phaseBackoff
 	phaseFinished
 	phaseGang // waits to start together with its gang
 )
@@ -25,9 +27,9 @@
 type entry struct {
 	id              string
 	task            model.Task
-	base            model.TaskID
+	base            model.TaskID // task id without run
 	shard           model.Shard
-	fingerprint     uint64
+	fingerprint     uint64 // of the request, 0 if it is not known
 	phase           phase
 	holder          wire.Owner // instance that the task was dispatched to
 	attempt         uint32
@@ -87,14 +89,14 @@
 	if e.phase == phaseWaiting && p != phaseWaiting {
 		s.queue.Cancel(e.task.ID)
 	}
-	was, is := e.charged, p == phaseDispatched || p == phaseRunning || p == phaseLocating && e.charged
-	if is && !was {
+	wasCharged, isCharged := e.charged, p == phaseDispatched || p == phaseRunning || p == phaseLocating && e.charged
+	if isCharged && !wasCharged {
 		e.queueRank = s.queue.Started(&e.task)
 	}
-	if was && !is {
+	if wasCharged && !isCharged {
 		s.queue.Ended(&e.task)
 	}
-	e.charged = is
+	e.charged = isCharged
 	e.phase = p
 	if e.gang != nil {
 		e.gang.changed = true
--- a/internal/service/requests/expiry.go
+++ b/internal/service/requests/expiry.go
@@ -54,6 +54,8 @@
 	s.finished = s.finished[n:]
 }
 
+// expire handles an entry that due has returned: it finishes a waiting task, locates a
+// task whose dispatch is unanswered, and replies to callers whose deadline has passed.
 func (s *Service) expire(e *entry, now time.Duration) {
 	switch e.phase {
 	case phaseWaiting:
--- a/internal/service/requests/gang.go
+++ b/internal/service/requests/gang.go
@@ -21,11 +21,11 @@
 	members []*entry
 	changed bool // the phase of a member has changed since the gang was advanced
 
-	waitingSince  time.Duration // start of the current wait
-	notBefore     time.Duration // time of the next attempt to start the gang or stop its tasks
-	gatherUntil   time.Duration // until when it keeps its holds between rounds, or 0
-	failedRounds  int
-	round         *holdRound
+	waitingSince  time.Duration             // start of the current wait
+	notBefore     time.Duration             // time of the next attempt to start the gang or stop its tasks
+	gatherUntil   time.Duration             // until when it keeps its holds between rounds, or 0
+	failedRounds  int                       // since the last start
+	round         *holdRound                // current round, or nil
 	holds         map[model.TaskID]taskHold // by task id without run
 	heldLastRound int                       // number of tasks held at the end of the last round
 	limited       bool                      // a holder held fewer tasks because of the team's upper limit
@@ -128,7 +128,9 @@
 	}
 }
 
-// gangTally holds the numbers of a gang's members by state.
+// gangTally holds the numbers of a gang's members by state. A member in state ended has
+// ended without success but may run again with its gang; succeeded and unsuccessful
+// members have a final answer.
 type gangTally struct {
 	locating, waiting, active, ended, succeeded, unsuccessful int
 }
@@ -154,6 +156,7 @@
 	return c
 }
 
+// advanceGang takes the step that the states of a gang's members call for.
 func (s *Service) advanceGang(g *gang) {
 	c := g.tally()
 	switch {
--- a/internal/service/requests/ganghold.go
+++ b/internal/service/requests/ganghold.go
@@ -26,7 +26,7 @@
 
 const (
 	// holdDuration is how long a holder keeps a hold. maxHoldAge is the age below
-	// which a start may still rely on one.
+	// which a start may still rely on a hold.
 	holdDuration = 2 * time.Second
 	maxHoldAge   = time.Second
 	// holdReplyTimeout is how long a holder's reply is awaited before the next holder
@@ -112,6 +112,8 @@
 	return tasks
 }
 
+// onHeld records a holder's reply to the request of a round. Holds that no round waits
+// for any more are released.
 func (s *Service) onHeld(from wire.Owner, m wire.Held) {
 	for _, g := range s.gangs {
 		if g.round != nil && g.round.id == m.ID && g.round.holders[g.round.next] == from {
--- a/internal/service/requests/jobtasks.go
+++ b/internal/service/requests/jobtasks.go
@@ -21,9 +21,12 @@
 // Jobs stores accepted jobs and tracks their progress.
 type Jobs interface {
 	Submit(c Caller, job model.Job)
+	// Status returns the status of a job, with the reason for a wait if why is set. It
+	// returns false if there is no such job.
 	Status(team model.TeamID, id model.JobID, why bool) (model.Answer, bool)
 	// Cancel starts to cancel a job. It reports whether the job exists.
 	Cancel(c Caller, team model.TeamID, id model.JobID) bool
+	// TaskEnded records the final answer for a task of a job.
 	TaskEnded(t model.Task, a model.Answer)
 }
 
@@ -63,18 +66,18 @@
 	return job, nil
 }
 
-// AddTask queues a task of an accepted job. If check is set, the task may have been
-// started under an earlier owner of the job's shard and is located first.
-func (s *Service) AddTask(job model.Job, index int, check bool) {
+// AddTask queues a task of an accepted job. If mayHaveStarted is set, the task may have
+// been started under an earlier owner of the job's shard and is located first.
+func (s *Service) AddTask(job model.Job, index int, mayHaveStarted bool) {
 	t := job.Template
 	t.ID = model.TaskIDOf(t.Team, string(job.ID), index)
 	t.Index = index
 	if e, ok := s.entries[t.ID]; ok {
-		known := e.task.Kind == model.KindGang && e.phase == phaseFinished
+		alreadyFinished := e.task.Kind == model.KindGang && e.phase == phaseFinished
 		e.task = t
 		if t.Kind == model.KindGang && e.gang == nil {
 			s.joinGang(e, job)
-			if !known {
+			if !alreadyFinished {
 				s.startLocate(e)
 			}
 		}
@@ -91,7 +94,7 @@
 	if t.Kind == model.KindGang {
 		s.joinGang(e, job)
 	}
-	if check {
+	if mayHaveStarted {
 		s.startLocate(e)
 		return
 	}
@@ -128,14 +131,14 @@
 type Reason struct {
 	Phase       string                `json:"phase"`
 	TeamWaiting int                   `json:"team_waiting"`        // tasks of the team that wait at this instance
-	TeamLevel   float64               `json:"team_level"`          // dominant part of the fleet divided by the configured share
+	TeamLevel   float64               `json:"team_level"`          // dominant share of the team divided by its configured share
 	AtLimit     bool                  `json:"at_limit"`            // a holder recently refused it because of the team's upper limit
 	Here        scheduler.Explanation `json:"here"`                // counted by filter, on the workers held here
 	GangHeld    int                   `json:"gang_held,omitempty"` // tasks of its gang held at the end of the last round
 	GangSize    int                   `json:"gang_size,omitempty"`
 }
 
-// explainWait returns the Reason of an entry as JSON, or nil if it can't be encoded.
+// explainWait returns the Reason of an entry as JSON, or nil if it cannot be encoded.
 func (s *Service) explainWait(e *entry) []byte {
 	r := Reason{
 		Phase: e.phase.String(), TeamWaiting: s.queue.Waiting(e.task.Team),
--- a/internal/service/requests/locate.go
+++ b/internal/service/requests/locate.go
@@ -21,6 +21,7 @@
 	restarted map[model.WorkerID]bool // covered workers that may have forgotten a run of the task
 }
 
+// locateRetryInterval is the time after which an unanswered round is repeated.
 const locateRetryInterval = 250 * time.Millisecond
 
 // startLocate sets an entry to phaseLocating and begins to locate its task.
@@ -87,7 +88,7 @@
 		delete(s.locates, l.id)
 		return
 	}
-	for _, st := range m.Seen {
+	for _, st := range m.Seen { // at most one, as a locate asks for one task
 		delete(s.locates, l.id)
 		s.OnTaskState(from, st)
 		return
--- a/internal/service/requests/requests.go
+++ b/internal/service/requests/requests.go
@@ -30,6 +30,7 @@
 type Ownership interface {
 	// OwnedTerm returns the term of a shard that this instance owns.
 	OwnedTerm(model.Shard) (term uint64, ok bool)
+	// Owner returns a shard's owner and term, or false if it has never had an owner.
 	Owner(model.Shard) (ownership.ShardOwner, bool)
 }
 
@@ -60,8 +61,8 @@
 type Config interface {
 	Service(name string) (model.Service, bool)
 	Teams() []model.Team
-	// Fresh reports whether this instance's reading of the log is recent, directly
-	// or through peers.
+	// Fresh reports whether the declarations known to this instance are recent enough to
+	// accept work.
 	Fresh() bool
 }
 
@@ -93,8 +94,8 @@
 	finished      []*entry                // entries with a final answer, by time of finish
 	queue         *queue.Queue
 	freeEstimates map[model.InstanceID]*freeEstimate
-	history       [model.Shards]shardHistory
-	imports       map[model.Shard]*pendingImport
+	history       [model.Shards]shardHistory     // by shard
+	imports       map[model.Shard]*pendingImport // records received for shards not owned here yet
 	locates       map[uint64]*locate
 	lastLocateID  uint64
 	dispatchDue   bool // an event may allow waiting tasks to start
@@ -104,7 +105,7 @@
 	lastHoldID   uint64
 
 	backoffs          []backoff
-	refusedUntil      map[refusalKey]time.Duration // a holder is not asked again before this time
+	refusedUntil      map[refusalKey]time.Duration // time on env's clock before which a holder is not asked again
 	sharesRefreshedAt time.Duration
 }
 
@@ -116,13 +117,13 @@
 }
 
 const (
-	maxEntries        = 200000
-	maxWaitingPerTeam = 4096
-	maxRuns           = 3
+	maxEntries        = 200000 // of this instance
+	maxWaitingPerTeam = 4096   // tasks of a team in the queue of this instance
+	maxRuns           = 3      // of a task, see shouldRunAgain
 	// dispatchTimeout is how long a dispatch may remain unanswered before its task
 	// is located.
 	dispatchTimeout = 2 * time.Second
-	// retryAfter is the delay that refused callers are asked to wait for.
+	// retryAfter is the delay after which refused callers are asked to retry.
 	retryAfter = time.Second
 )
 
@@ -289,6 +290,8 @@
 	return t, nil
 }
 
+// fitsListedWorker reports whether a task fits on an idle listed worker. Without any
+// listed worker it returns true, as the list may not have been received yet.
 func (s *Service) fitsListedWorker(t *model.Task) bool {
 	listed := s.ledger.ListedWorkers()
 	if len(listed) == 0 {
@@ -302,6 +305,8 @@
 	return false
 }
 
+// fingerprint returns a hash of the parts in which requests with the same id must agree.
+// It is never 0, which stands for an unknown request.
 func fingerprint(r model.Request) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{string(r.Op), r.Service, string(r.Task.Payload)} {
