--- a/internal/cell/peer/peer.go
+++ b/internal/cell/peer/peer.go
@@ -121,7 +121,7 @@
 		return errors.Wrap(err, c.address)
 	}
 	c.closeConn(conn)
-	if errors.Is(err, rpc.ErrShutdown) { // conn was closed before the call
+	if errors.Is(err, rpc.ErrShutdown) { // taken to mean that conn was closed before the call was sent
 		return errors.Mark(errors.Wrap(err, c.address), ErrNotSent)
 	}
 	return errors.Wrap(err, c.address)
