--- a/internal/service/jobs/jobs.go
+++ b/internal/service/jobs/jobs.go
@@ -1,6 +1,6 @@
 // Package jobs keeps the jobs that were accepted for later execution. A job is
 // accepted once its record is in the log. Every instance replays the same records;
-// the owner of a job's shard runs its tasks and records which of them ended.
+// the owner of a job's shard runs the job's tasks and records which of them ended.
 package jobs
 
 import (
@@ -23,8 +23,8 @@
 
 // Tasks runs the tasks of jobs.
 type Tasks interface {
-	// AddTask queues a task of an accepted job. With check set, a previous owner of the
-	// shard may have started it.
+	// AddTask queues a task of an accepted job. If check is set, a previous owner of the
+	// shard may have started the task, so it is located first.
 	AddTask(job model.Job, index int, check bool)
 	// CancelTask cancels a task of a job.
 	CancelTask(id model.TaskID)
@@ -44,14 +44,14 @@
 	ownership Ownership
 	tasks     Tasks
 
-	jobs        map[key]*job
-	order       []key // keys of jobs in order of acceptance
-	submissions map[key]*submission
-	appends     map[uint64][]key // append id to the jobs submitted or canceled with it
-	ended       map[key]*endedTasks
-	flushAt     time.Duration
-	flushID     uint64
-	flushed     map[key]*endedTasks // in the progress records of the append in flight
+	jobs    map[key]*job
+	order   []key // keys of jobs in order of acceptance
+	pending map[key]*pendingJob
+	appends map[uint64][]key // append id to the jobs submitted or canceled with it
+	ended   map[key]*endedTasks
+	flushAt time.Duration       // earliest time of the next append of progress records
+	flushID uint64              // append id of the progress records in flight, 0 when there are none
+	flushed map[key]*endedTasks // ended tasks in the progress records in flight
 }
 
 type key struct {
@@ -62,34 +62,34 @@
 // job is the state of a job, built from its records.
 type job struct {
 	spec     model.Job
-	done     map[int]bool // task index to success
+	ended    map[int]bool // ended tasks: index to whether the task succeeded
 	failed   int
 	canceled bool
 	endedAt  time.Duration
 }
 
-// submission is a job whose acceptance or cancellation has not been read back from
-// the log yet.
-type submission struct {
+// pendingJob is a job whose acceptance or cancellation has not been read back from
+// the log yet, with the callers that wait for it.
+type pendingJob struct {
 	callers  []requests.Caller
 	deadline time.Duration
 }
 
 const (
-	submitTimeout = 5 * time.Second
-	flushInterval = time.Second
-	flushTimeout  = 5 * time.Second
-	retryAfter    = time.Second
+	pendingTimeout = 5 * time.Second
+	flushInterval  = time.Second
+	flushTimeout   = 5 * time.Second
+	retryAfter     = time.Second
 )
 
 // New returns the jobs service.
 func New(env *event.Env) *Service {
 	return &Service{
-		env:         env,
-		jobs:        make(map[key]*job),
-		submissions: make(map[key]*submission),
-		appends:     make(map[uint64][]key),
-		ended:       make(map[key]*endedTasks),
+		env:     env,
+		jobs:    make(map[key]*job),
+		pending: make(map[key]*pendingJob),
+		appends: make(map[uint64][]key),
+		ended:   make(map[key]*endedTasks),
 	}
 }
 
@@ -117,14 +117,14 @@
 		s.tasks.Reply(c, s.submissionAnswer(k, j, spec))
 		return
 	}
-	w, ok := s.submissions[k]
+	p, ok := s.pending[k]
 	if !ok {
-		w = &submission{deadline: s.env.Now() + submitTimeout}
-		s.submissions[k] = w
+		p = &pendingJob{deadline: s.env.Now() + pendingTimeout}
+		s.pending[k] = p
 		id := s.env.Append(wire.JobAccepted{Job: spec})
 		s.appends[id] = append(s.appends[id], k)
 	}
-	w.callers = append(w.callers, c)
+	p.callers = append(p.callers, c)
 }
 
 // submissionAnswer returns the answer to the submission of a job that is in the log.
@@ -151,25 +151,25 @@
 	k := keyOf(spec)
 	j, known := s.jobs[k]
 	if !known {
-		j = &job{spec: spec, done: make(map[int]bool)}
+		j = &job{spec: spec, ended: make(map[int]bool)}
 		s.jobs[k] = j
 		s.order = append(s.order, k)
 		if _, owned := s.ownership.OwnedTerm(k.shard()); owned {
 			s.addTasks(j, false)
 		}
 	}
-	if w, ok := s.submissions[k]; ok {
-		delete(s.submissions, k)
-		for _, c := range w.callers {
+	if p, ok := s.pending[k]; ok {
+		delete(s.pending, k)
+		for _, c := range p.callers {
 			s.tasks.Reply(c, s.submissionAnswer(k, j, j.spec))
 		}
 	}
 }
 
-// addTasks passes the tasks that have not ended to the coordinator.
+// addTasks queues the tasks that have not ended.
 func (s *Service) addTasks(j *job, check bool) {
 	for i := range j.spec.Count {
-		if _, ended := j.done[i]; !ended {
+		if _, ended := j.ended[i]; !ended {
 			s.tasks.AddTask(j.spec, i, check)
 		}
 	}
@@ -186,16 +186,16 @@
 	for _, i := range r.Failed {
 		s.endTask(j, i, false)
 	}
-	if len(j.done) == j.spec.Count && j.endedAt == 0 {
+	if len(j.ended) == j.spec.Count && j.endedAt == 0 {
 		j.endedAt = max(s.env.Now(), 1)
 	}
 }
 
 func (s *Service) endTask(j *job, index int, success bool) {
-	if _, ended := j.done[index]; ended {
+	if _, ended := j.ended[index]; ended {
 		return
 	}
-	j.done[index] = success
+	j.ended[index] = success
 	if !success {
 		j.failed++
 	}
@@ -212,9 +212,9 @@
 		return
 	}
 	j.canceled = true
-	if w, waits := s.submissions[k]; waits {
-		delete(s.submissions, k)
-		for _, c := range w.callers {
+	if p, waits := s.pending[k]; waits {
+		delete(s.pending, k)
+		for _, c := range p.callers {
 			s.tasks.Reply(c, s.statusAnswer(k, j))
 		}
 	}
@@ -225,7 +225,7 @@
 
 func (s *Service) cancelTasks(j *job) {
 	for i := range j.spec.Count {
-		if _, ended := j.done[i]; !ended {
+		if _, ended := j.ended[i]; !ended {
 			s.tasks.CancelTask(taskOf(j.spec, i))
 		}
 	}
@@ -249,20 +249,23 @@
 	}
 }
 
+// refuse answers the callers that wait for a pending job with an error.
 func (s *Service) refuse(k key, e *verdict.Error) {
-	w, ok := s.submissions[k]
+	p, ok := s.pending[k]
 	if !ok {
 		return
 	}
-	delete(s.submissions, k)
-	for _, c := range w.callers {
+	delete(s.pending, k)
+	for _, c := range p.callers {
 		s.tasks.Reply(c, model.Refusal(string(k.id), e))
 	}
 }
 
-func (s *Service) expireSubmissions(now time.Duration) {
-	for _, k := range sortedKeys(s.submissions) {
-		if now >= s.submissions[k].deadline {
+// expirePending answers the callers of pending jobs whose deadline has passed: the
+// record may or may not be in the log.
+func (s *Service) expirePending(now time.Duration) {
+	for _, k := range sortedKeys(s.pending) {
+		if now >= s.pending[k].deadline {
 			e := verdict.Refuse(verdict.CodeInDoubt, "the job may be in the log; submit it again with the same id").WithRetryAfter(retryAfter)
 			e.Verdict = verdict.MayHaveRun
 			s.refuse(k, e)
@@ -270,8 +273,8 @@
 	}
 }
 
-// forgetOld removes jobs that ended longer ago than the retention time.
-func (s *Service) forgetOld(now time.Duration) {
+// removeOldJobs removes jobs that ended longer ago than Timing.Retention.
+func (s *Service) removeOldJobs(now time.Duration) {
 	s.order = slices.DeleteFunc(s.order, func(k key) bool {
 		j := s.jobs[k]
 		if j.endedAt == 0 || now-j.endedAt <= s.env.Timing.Retention {
@@ -293,13 +296,13 @@
 		s.tasks.Reply(c, s.statusAnswer(k, j))
 		return true
 	}
-	w, waits := s.submissions[k]
+	p, waits := s.pending[k]
 	if !waits {
-		w = &submission{deadline: s.env.Now() + submitTimeout}
-		s.submissions[k] = w
+		p = &pendingJob{deadline: s.env.Now() + pendingTimeout}
+		s.pending[k] = p
 		appendID := s.env.Append(wire.JobCanceled{Team: team, Job: id})
 		s.appends[appendID] = append(s.appends[appendID], k)
 	}
-	w.callers = append(w.callers, c)
+	p.callers = append(p.callers, c)
 	return true
 }
--- a/internal/service/jobs/progress.go
+++ b/internal/service/jobs/progress.go
@@ -34,20 +34,20 @@
 	}
 }
 
-// OnTick writes progress records, answers submissions whose deadline has passed and
-// removes old jobs.
+// OnTick writes progress records, answers the callers of pending jobs whose deadline
+// has passed and removes old jobs.
 func (s *Service) OnTick() {
 	now := s.env.Now()
-	s.expireSubmissions(now)
-	s.forgetOld(now)
+	s.expirePending(now)
+	s.removeOldJobs(now)
 	if now < s.flushAt || len(s.ended) == 0 || s.flushID != 0 && now < s.flushAt+flushTimeout {
 		return
 	}
 	s.flush(now)
 }
 
-// flush appends the ends collected so far. The ends of a failed append are written
-// again; applying them twice changes nothing.
+// flush appends progress records of the tasks that have ended so far. Those of a
+// failed append are written again; applying them twice changes nothing.
 func (s *Service) flush(now time.Duration) {
 	s.flushAt = now + flushInterval
 	s.flushed = s.ended
@@ -68,8 +68,8 @@
 	})
 }
 
-// OnAppendDone refuses submissions that are certainly not in the log. Progress that
-// may not be in the log is added to the next progress record.
+// OnAppendDone refuses pending jobs whose record is certainly not in the log. Progress
+// that may not be in the log is added to the next progress record.
 func (s *Service) OnAppendDone(d event.AppendDone) {
 	if d.ID == s.flushID {
 		s.flushID = 0
--- a/internal/service/jobs/snapshot.go
+++ b/internal/service/jobs/snapshot.go
@@ -32,8 +32,8 @@
 	for _, k := range s.order {
 		j := s.jobs[k]
 		entry := jobSnapshot{Spec: j.spec, Canceled: j.canceled}
-		for _, i := range slices.Sorted(maps.Keys(j.done)) {
-			if j.done[i] {
+		for _, i := range slices.Sorted(maps.Keys(j.ended)) {
+			if j.ended[i] {
 				entry.Done = append(entry.Done, i)
 			} else {
 				entry.Failed = append(entry.Failed, i)
@@ -48,17 +48,17 @@
 	return data
 }
 
-// Restore implements service.Snapshotter. A job that is missing from the later state
-// has ended and was removed. Other instances may have started tasks of the restored
-// jobs already. It returns an error when data is malformed.
+// Restore implements service.Snapshotter. A job that is missing from the snapshot has
+// ended and was removed. Other instances may have started tasks of the restored jobs
+// already. It returns an error when data is malformed.
 func (s *Service) Restore(data []byte) error {
 	var snap jobsSnapshot
 	if err := cbor.Unmarshal(data, &snap); err != nil {
 		return errors.Wrap(err, "decode jobs snapshot")
 	}
 	kept := make(map[key]bool, len(snap.Jobs))
-	for _, line := range snap.Jobs {
-		kept[keyOf(line.Spec)] = true
+	for _, entry := range snap.Jobs {
+		kept[keyOf(entry.Spec)] = true
 	}
 	s.order = slices.DeleteFunc(s.order, func(k key) bool {
 		if !kept[k] {
@@ -66,8 +66,8 @@
 		}
 		return !kept[k]
 	})
-	for _, line := range snap.Jobs {
-		s.restore(line)
+	for _, entry := range snap.Jobs {
+		s.restore(entry)
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 	k := keyOf(entry.Spec)
 	j, known := s.jobs[k]
 	if !known {
-		j = &job{spec: entry.Spec, done: make(map[int]bool)}
+		j = &job{spec: entry.Spec, ended: make(map[int]bool)}
 		s.jobs[k] = j
 		s.order = append(s.order, k)
 	}
@@ -95,7 +95,7 @@
 	for _, i := range entry.Failed {
 		s.endTask(j, i, false)
 	}
-	if len(j.done) == j.spec.Count && j.endedAt == 0 {
+	if len(j.ended) == j.spec.Count && j.endedAt == 0 {
 		j.endedAt = max(s.env.Now(), 1)
 	}
 	if _, owned := s.ownership.OwnedTerm(k.shard()); owned && !known && j.endedAt == 0 {
@@ -104,17 +104,17 @@
 	if entry.Canceled {
 		s.cancel(k)
 	}
-	s.answerSubmissions(k, j)
+	s.answerPending(k, j)
 }
 
-// answerSubmissions answers callers whose job is in the restored state.
-func (s *Service) answerSubmissions(k key, j *job) {
-	w, ok := s.submissions[k]
+// answerPending answers the callers that wait for a job in the restored state.
+func (s *Service) answerPending(k key, j *job) {
+	p, ok := s.pending[k]
 	if !ok {
 		return
 	}
-	delete(s.submissions, k)
-	for _, c := range w.callers {
+	delete(s.pending, k)
+	for _, c := range p.callers {
 		s.tasks.Reply(c, s.submissionAnswer(k, j, j.spec))
 	}
 }
--- a/internal/service/jobs/status.go
+++ b/internal/service/jobs/status.go
@@ -51,11 +51,11 @@
 func (s *Service) document(j *job, why bool) Document {
 	var ids []model.TaskID
 	for i := range j.spec.Count {
-		if _, ended := j.done[i]; !ended {
+		if _, ended := j.ended[i]; !ended {
 			ids = append(ids, taskOf(j.spec, i))
 		}
 	}
-	d := Document{Count: j.spec.Count, Done: len(j.done) - j.failed, Failed: j.failed, Canceled: j.canceled}
+	d := Document{Count: j.spec.Count, Done: len(j.ended) - j.failed, Failed: j.failed, Canceled: j.canceled}
 	d.Waiting, d.Running = s.tasks.Phases(ids)
 	if why {
 		d.Why = s.tasks.ExplainWait(ids)
