--- a/internal/service/limits/ceiling.go
+++ b/internal/service/limits/ceiling.go
@@ -19,8 +19,8 @@
 	return c
 }
 
-// maxLimit returns the highest limit that is declared for any hour, noLimit when
-// there is an hour without one.
+// maxLimit returns the highest limit that is declared for any time of day, noLimit
+// when there is a time of day without one.
 func (s *Service) maxLimit(team model.TeamID) int64 {
 	if limit := s.config.MaxLimit(team); limit > 0 {
 		return limit
--- a/internal/service/limits/escrow.go
+++ b/internal/service/limits/escrow.go
@@ -9,24 +9,24 @@
 	"pollenbend/internal/wire"
 )
 
-// escrow is the shard owner's account of one team's ceilings for one term of the
-// shard.
+// escrow is the shard owner's record of the ceilings that it granted for one team in
+// one term of the shard.
 type escrow struct {
 	term   uint64
 	grants map[wire.Owner]grant
 }
 
-// grant is the last ceiling sent to a member. Peak is the highest ceiling among the
-// grants that the member has not confirmed: any of them may be in force there.
+// grant describes the grants to one member. Any grant that the member has not
+// confirmed may be in force there.
 type grant struct {
-	seq    uint64
-	peak   int64
-	last   int64         // ceiling of the grant with number seq
-	sentAt time.Duration // when the grant with number seq was sent, 0 once it is confirmed
+	seq    uint64        // sequence number of the last grant sent
+	peak   int64         // highest ceiling among the unconfirmed grants
+	last   int64         // ceiling of the last grant sent
+	sentAt time.Duration // when the last grant was sent, 0 once it is confirmed
 }
 
 // regrantTimeout is the time after which an unconfirmed grant is sent again: two
-// heartbeats with the default timing.
+// default heartbeat intervals.
 const regrantTimeout = time.Second
 
 // OnTick plans the ceilings of the teams whose shards this instance owns.
@@ -34,10 +34,10 @@
 	if !s.members.Majority() {
 		s.shrinkCeilings()
 	}
-	if s.env.Now() < s.nextPlan {
+	if s.env.Now() < s.nextPlanAt {
 		return
 	}
-	s.nextPlan = s.env.Now() + planInterval
+	s.nextPlanAt = s.env.Now() + planInterval
 	s.expireGangDemands()
 	uncovered := int64(-1) // not counted yet
 	for _, team := range s.config.LimitedTeams() {
@@ -69,12 +69,13 @@
 	// bound is the highest number of tasks that the member may be running, now or after
 	// a grant that it may still receive.
 	bound int64
-	need  int64
+	need  int64 // number of tasks that the member could run now, at most slots
 	slots int64 // task slots on the workers that the member covers
 }
 
-// plan adjusts a team's ceilings towards the needs of the members. All uncovered
-// slots count as used by the team, because they may be running its tasks.
+// plan adjusts a team's ceilings towards the needs of the members. All task slots that
+// no live member covers (uncovered) count as used by the team, because they may be
+// running its tasks.
 func (s *Service) plan(team model.TeamID, term uint64, uncovered int64) {
 	if s.env.Now() < s.readyAt[model.ShardOfTeam(team)] {
 		return
@@ -123,7 +124,7 @@
 	return short
 }
 
-// limit returns the limit to split at this hour, noLimit when there is none.
+// limit returns the limit to split now, noLimit when there is none.
 func (s *Service) limit(team model.TeamID) int64 {
 	if limit := s.config.Limit(team); limit > 0 {
 		return limit
@@ -131,16 +132,17 @@
 	return noLimit
 }
 
-// OnShardMoved makes the new owner of a shard wait for one worker lease before its
+// OnShardMoved makes the new owner of a shard wait for Timing.WorkerLease before its
 // first grant. By then every instance that it cannot reach has lost the leases under
-// which it could still start tasks.
+// which it could still start tasks. For a shard that never had an owner there are no
+// earlier grants, so its first owner does not wait.
 func (s *Service) OnShardMoved(m service.ShardMove) {
 	if m.OldTerm != 0 {
 		s.readyAt[m.Shard] = s.env.Now() + s.env.Timing.WorkerLease
 	}
 }
 
-// escrowOf returns the account for a term. A new term starts with an empty one.
+// escrowOf returns a team's escrow for a term. A new term starts with an empty one.
 func (s *Service) escrowOf(team model.TeamID, term uint64) *escrow {
 	e, ok := s.escrows[team]
 	if !ok || e.term != term {
@@ -187,7 +189,8 @@
 
 // bound returns the highest number of tasks that a member may reach: the maximum of
 // its running tasks, the ceiling that it reported and, unless it reported the last
-// grant, the highest unconfirmed grant.
+// grant, the highest unconfirmed grant. When the member reported the last grant, bound
+// marks all grants to it as confirmed.
 func bound(load wire.TeamLoad, e *escrow, o wire.Owner) int64 {
 	b := max(load.Running, load.Ceiling)
 	g, sent := e.grants[o]
--- a/internal/service/limits/gang_demand.go
+++ b/internal/service/limits/gang_demand.go
@@ -6,12 +6,12 @@
 	"pollenbend/internal/model"
 )
 
-// gangDemand is the highest number of tasks that a gang recently asked to start. It
-// counts as demand until it expires, so that ceilings stay constant between the
-// attempts of a gang.
+// gangDemand is the highest number of tasks that a team's gangs recently asked to
+// start. It counts as demand until it expires, so that ceilings stay constant between
+// the attempts of a gang.
 type gangDemand struct {
 	count int64
-	since time.Duration
+	since time.Duration // when count or more tasks were last asked for
 }
 
 const gangDemandRetention = 3 * time.Second
@@ -29,8 +29,8 @@
 }
 
 func (s *Service) expireGangDemands() {
-	for team, a := range s.gangDemands {
-		if s.env.Now()-a.since >= gangDemandRetention {
+	for team, d := range s.gangDemands {
+		if s.env.Now()-d.since >= gangDemandRetention {
 			delete(s.gangDemands, team)
 		}
 	}
--- a/internal/service/limits/limits.go
+++ b/internal/service/limits/limits.go
@@ -1,13 +1,13 @@
-// Package limits keeps teams within their upper limits across the whole fleet.
+// Package limits keeps teams within their limits across the whole fleet.
 //
 // A limit is held in escrow: the owner of a team's shard splits it into ceilings,
 // one for each instance that holds worker leases, and an instance never runs more
 // tasks of the team than its ceiling. The sum of the ceilings plus all task slots of
-// workers whose lease holder is unreachable never exceeds the limit: what cannot be
-// reached counts as used.
+// the workers that no live member covers never exceeds the limit: those slots count as
+// used.
 //
-// For a limit that depends on the hour, only the clock of the shard owner counts. A
-// team that has a limit at any hour has ceilings at all hours.
+// For a limit that depends on the time of day, only the clock of the shard owner
+// counts. A team that has a limit at any time of day always has ceilings.
 package limits
 
 import (
@@ -25,16 +25,16 @@
 
 // Config provides the declared limits.
 type Config interface {
-	// Limit returns the maximum number of running tasks of a team at this hour, 0 for no
-	// limit.
+	// Limit returns the maximum number of running tasks of a team that is in effect now,
+	// 0 for no limit.
 	Limit(model.TeamID) int64
-	// HasLimit reports whether a team has a limit at any hour. It does not depend on the
-	// clock.
+	// HasLimit reports whether a team has a limit at any time of day. It does not depend
+	// on the clock.
 	HasLimit(model.TeamID) bool
-	// LimitedTeams returns the teams with a limit at any hour, sorted.
+	// LimitedTeams returns the teams with a limit at any time of day, sorted.
 	LimitedTeams() []model.TeamID
-	// MaxLimit returns the highest limit declared for any hour, 0 when there is an hour
-	// without a limit.
+	// MaxLimit returns the highest limit declared for any time of day, 0 when there is a
+	// time of day without a limit.
 	MaxLimit(model.TeamID) int64
 	// Fresh reports whether the declarations known to this instance are recent enough to
 	// accept work.
@@ -88,18 +88,18 @@
 	reductions        map[model.TeamID][]reduction
 	sentHeartbeatSeq  uint64                 // sequence number of the last heartbeat sent
 	refusedStarts     map[model.TeamID]int64 // starts refused since the last heartbeat
-	prevRefusedStarts map[model.TeamID]int64 // starts refused between the two heartbeats before it
+	prevRefusedStarts map[model.TeamID]int64 // starts refused between the last two heartbeats sent
 	gangDemands       map[model.TeamID]gangDemand
 	escrows           map[model.TeamID]*escrow
 	readyAt           [model.Shards]time.Duration // when the new owner of a shard may start to grant
-	nextPlan          time.Duration
+	nextPlanAt        time.Duration               // earliest time of the next planning
 }
 
 // ceiling is this instance's part of a team's limit.
 type ceiling struct {
-	term  uint64
+	term  uint64 // term and sequence number of the last grant applied
 	seq   uint64
-	max   int64
+	max   int64 // maximum number of running tasks on this instance
 	limit int64 // limit of which max is a part
 }
 
@@ -108,8 +108,8 @@
 	// maxExcess is the number of tasks by which a ceiling may exceed its target without
 	// being reduced, as long as no member needs them.
 	maxExcess = 1
-	// noLimit is split in hours without a limit. It is higher than the number of tasks
-	// any fleet can run.
+	// noLimit is split at times of day without a limit. It is higher than the number of
+	// tasks any fleet can run.
 	noLimit = int64(1) << 40
 )
 
@@ -165,6 +165,9 @@
 	}
 }
 
+// applyGrant replaces the ceiling with the granted one, minus the reductions that the
+// shard owner did not know of. It ignores a grant for another incarnation of this
+// instance, of an earlier term of the shard, or older than the last one applied.
 func (s *Service) applyGrant(g wire.Grant) {
 	if g.To != s.env.Self.Incarnation {
 		return
@@ -174,14 +177,14 @@
 	if g.Term < owner.Term || g.Term < c.term || g.Term == c.term && g.Seq <= c.seq {
 		return
 	}
-	limit := max(g.Ceiling-s.unreportedReductions(g.Team, g.HeartbeatSeq), 0)
-	s.ceilings[g.Team] = ceiling{term: g.Term, seq: g.Seq, max: limit, limit: g.Limit}
+	maxTasks := max(g.Ceiling-s.unreportedReductions(g.Team, g.HeartbeatSeq), 0)
+	s.ceilings[g.Team] = ceiling{term: g.Term, seq: g.Seq, max: maxTasks, limit: g.Limit}
 }
 
 // FillHeartbeat adds the running tasks, ceiling and demand of each team to a heartbeat.
-func (s *Service) FillHeartbeat(b *wire.Heartbeat) {
-	s.sentHeartbeatSeq = b.Seq
-	b.Teams = s.loads()
+func (s *Service) FillHeartbeat(h *wire.Heartbeat) {
+	s.sentHeartbeatSeq = h.Seq
+	h.Teams = s.loads()
 	s.prevRefusedStarts, s.refusedStarts = s.refusedStarts, make(map[model.TeamID]int64)
 }
 
--- a/internal/service/limits/reduction.go
+++ b/internal/service/limits/reduction.go
@@ -6,9 +6,9 @@
 	"pollenbend/internal/model"
 )
 
-// reduction is an amount by which this instance reduced its own ceiling when it lost
-// a worker whose task runs on. Heartbeats up to heartbeatSeq do not include it,
-// nor do grants based on them.
+// reduction is a number of tasks by which this instance reduced its own ceiling when
+// it lost the lease of a worker on which they may still run. Heartbeats up to
+// heartbeatSeq do not include it, nor do grants based on them.
 type reduction struct {
 	heartbeatSeq uint64
 	n            int64
@@ -18,7 +18,7 @@
 // reduction.
 const currentHeartbeatSeq = math.MaxUint64
 
-// ReduceCeiling reduces the ceiling of a team by one: a task of the team runs on, but
+// ReduceCeiling reduces the ceiling of a team by one: a task of the team may still run
 // on a worker whose lease this instance no longer holds.
 func (s *Service) ReduceCeiling(team model.TeamID) {
 	c := s.currentCeiling(team)
@@ -32,10 +32,10 @@
 func (s *Service) unreportedReductions(team model.TeamID, heartbeatSeq uint64) int64 {
 	var n int64
 	var kept []reduction
-	for _, d := range s.reductions[team] {
-		if d.heartbeatSeq >= heartbeatSeq {
-			n += d.n
-			kept = append(kept, d)
+	for _, r := range s.reductions[team] {
+		if r.heartbeatSeq >= heartbeatSeq {
+			n += r.n
+			kept = append(kept, r)
 		}
 	}
 	s.reductions[team] = kept
