--- a/internal/service/config/hours.go
+++ b/internal/service/config/hours.go
@@ -2,7 +2,7 @@
 
 import "pollenbend/internal/model"
 
-// team returns a team with the share and limit of this hour. Policies have no effect
+// team returns a team with the share and limit in effect now. Policies have no effect
 // while the time of day is unknown.
 func (s *Service) team(id model.TeamID) (model.Team, bool) {
 	if wall := s.env.Wall(); !wall.IsZero() {
@@ -11,7 +11,7 @@
 	return s.state.Team(id)
 }
 
-// Teams returns the declared teams with the shares and limits of this hour.
+// Teams returns the declared teams with the shares and limits in effect now.
 func (s *Service) Teams() []model.Team {
 	teams := s.state.Declarations().Teams
 	for i := range teams {
@@ -20,18 +20,18 @@
 	return teams
 }
 
-// Limit returns the maximum number of running tasks of a team at this hour by this
-// instance's clock, 0 for no limit.
+// Limit returns the maximum number of running tasks of a team that is in effect now by
+// this instance's clock, 0 for no limit.
 func (s *Service) Limit(id model.TeamID) int64 {
 	t, _ := s.team(id)
 	return t.Limit
 }
 
-// HasLimit reports whether a team has an upper limit at any hour. It does not
-// depend on the clock.
+// HasLimit reports whether a team has a limit at any time of day. It does not depend
+// on the clock.
 func (s *Service) HasLimit(id model.TeamID) bool { return s.state.HasLimit(id) }
 
-// LimitedTeams returns the teams with an upper limit at any hour, sorted.
+// LimitedTeams returns the teams with a limit at any time of day, sorted.
 func (s *Service) LimitedTeams() []model.TeamID {
 	var teams []model.TeamID
 	for _, t := range s.state.Declarations().Teams {
@@ -42,6 +42,6 @@
 	return teams
 }
 
-// MaxLimit returns the highest limit of a team at any hour, 0 when there is an
-// hour without one. It does not depend on the clock.
+// MaxLimit returns the highest limit of a team at any time of day, 0 when there is a
+// time of day without one. It does not depend on the clock.
 func (s *Service) MaxLimit(id model.TeamID) int64 { return s.state.MaxLimit(id) }
--- a/internal/service/config/reference.go
+++ b/internal/service/config/reference.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// hashReference is the prefix of the reference to a declared key. The log contains
-	// the same hash.
-	hashReference = "sha256:"
+	// hashReferencePrefix starts the reference to a declared key; the hash of its secret
+	// follows. The log contains the same hash.
+	hashReferencePrefix = "sha256:"
 	// unknownReference replaces every unknown key. Not even its hash is kept, because it
 	// may be any text that a caller took for a key.
 	unknownReference = "unknown"
@@ -22,7 +22,7 @@
 		return ""
 	}
 	if key, ok := s.authenticate(secret); ok {
-		return hashReference + key.SHA256
+		return hashReferencePrefix + key.SHA256
 	}
 	return unknownReference
 }
@@ -35,7 +35,7 @@
 	if !s.keyReferences {
 		return s.state.Authenticate(secret)
 	}
-	hash, ok := strings.CutPrefix(secret, hashReference)
+	hash, ok := strings.CutPrefix(secret, hashReferencePrefix)
 	if !ok {
 		return model.Key{}, false
 	}
