--- a/internal/service/handover/handover.go
+++ b/internal/service/handover/handover.go
@@ -1,10 +1,11 @@
-// Package handover transfers shards to another owner without losing what their owner
-// remembers of requests: when this instance is leaving, and when another one is the
+// Package handover transfers shards to another owner without losing their owner's
+// records of requests: when this instance is leaving, and when another one is the
 // target of a shard.
 //
-// The owner freezes the shards, sends their request memory to the next owner and,
-// once that one has confirmed it, appends a Handover. The memory takes effect only
-// with that record, so a failed handover changes nothing.
+// The owner freezes the shards, sends the records in a wire.Memory to the next owner
+// and, once that one has confirmed it, appends a wire.Handover. The next owner uses the
+// records only after it has read the handover from the log, so a failed handover
+// changes nothing.
 package handover
 
 import (
@@ -50,7 +51,7 @@
 	env       *event.Env
 	ownership Ownership
 	members   Members
-	memory    Memory
+	records   Memory
 
 	current        *transfer
 	lastTransferID uint64
@@ -64,9 +65,9 @@
 type stage uint8
 
 const (
-	stageSending    stage = iota // memory sent, not yet confirmed
-	stageAppending               // the handover may be in the log
-	stageReclaiming              // in doubt; a claim by this instance decides
+	stageSending    stage = iota // records sent, not yet confirmed
+	stageAppending               // handover appended, no result yet
+	stageReclaiming              // unknown whether the handover is in the log; claim appended
 )
 
 type transfer struct {
@@ -86,8 +87,8 @@
 	transferInterval = 50 * time.Millisecond
 	idleInterval     = 250 * time.Millisecond // between checks when there is nothing to hand over
 	stableWindow     = 5 * time.Second        // time without a change of members before shards are balanced
-	startupDelay     = 10 * time.Second
-	drainTimeout     = 10 * time.Second
+	startupDelay     = 10 * time.Second       // time after the process start before shards are balanced
+	drainTimeout     = 10 * time.Second       // after which Drained waits no longer for handovers
 )
 
 // New returns the handover service.
@@ -101,7 +102,7 @@
 	if s.ownership, err = kernel.Find[Ownership](k, service.Ownership); err != nil {
 		return err
 	}
-	if s.memory, err = kernel.Find[Memory](k, service.Requests); err != nil {
+	if s.records, err = kernel.Find[Memory](k, service.Requests); err != nil {
 		return err
 	}
 	s.members, err = kernel.Find[Members](k, service.Membership)
@@ -145,8 +146,9 @@
 	}
 }
 
-// nextTransfer returns the shards to hand over next and their new owner: all shards when
-// this instance is leaving, otherwise those whose target has become another member.
+// nextTransfer returns the shards to hand over next, at most maxShards, and their new
+// owner. Shards are handed over when their target is another member; while this
+// instance is leaving, that applies to all of them.
 func (s *Service) nextTransfer(now time.Duration) (to wire.Owner, shards []wire.ShardTerm) {
 	stable := now-s.eligibleSince >= stableWindow && now >= startupDelay
 	if !s.members.Leaving() && !stable {
@@ -158,7 +160,7 @@
 		if !ok || target == s.env.Owner() || len(shards) > 0 && target != to {
 			continue
 		}
-		requests += s.memory.RecordCount(st.Shard)
+		requests += s.records.RecordCount(st.Shard)
 		if len(shards) > 0 && requests > maxRequests {
 			break
 		}
@@ -174,16 +176,16 @@
 func (s *Service) send(to wire.Owner, shards []wire.ShardTerm) {
 	s.lastTransferID++
 	s.current = &transfer{id: s.lastTransferID, to: to, shards: shards, deadline: s.env.Now() + sendTimeout}
-	memory, entries := s.memory.ExportRecords(shards)
+	memory, entries := s.records.ExportRecords(shards)
 	s.note("handover-send", fmt.Sprintf("%d shards, %d requests to %s", len(shards), len(entries), to.Instance))
 	s.env.Send(to.Instance, wire.Memory{ID: s.lastTransferID, Shards: memory, Entries: entries})
 }
 
-// OnMessage handles memory sent by owners and confirmations from next owners.
+// OnMessage handles records sent by owners and confirmations from next owners.
 func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
 	switch m := m.(type) {
 	case wire.Memory:
-		s.memory.ImportRecords(m)
+		s.records.ImportRecords(m)
 		s.env.Send(from.Instance, wire.MemoryKept{ID: m.ID})
 	case wire.MemoryKept:
 		s.onMemoryKept(from, m)
@@ -231,6 +233,9 @@
 	s.env.Note(event.Note{Kind: kind, Subject: string(s.env.Self.ID), Detail: detail})
 }
 
+// checkDeadline ends a transfer whose records were not confirmed in time or whose
+// receiver is dead. If the handover or claim was not read back in time, it reclaims the
+// shards.
 func (s *Service) checkDeadline(now time.Duration) {
 	t := s.current
 	switch {
--- a/internal/service/membership/membership.go
+++ b/internal/service/membership/membership.go
@@ -16,7 +16,8 @@
 	"pollenbend/internal/wire"
 )
 
-// Member is what this instance knows of another one.
+// Member is what this instance knows of another one. Owner identifies the other
+// instance and its incarnation.
 type Member struct {
 	Owner           wire.Owner
 	Heartbeat       wire.Heartbeat
@@ -160,17 +161,17 @@
 // unreachableForMajority reports whether more than half of the members reachable
 // from here, this instance included, cannot reach o.
 func (s *Service) unreachableForMajority(o wire.Owner) bool {
-	voters, unreachable := 1, 1
+	reachable, cannotReach := 1, 1
 	for _, m := range s.members {
 		if m.dead || s.unreachable(m) {
 			continue
 		}
-		voters++
+		reachable++
 		if !slices.Contains(m.Heartbeat.Reachable, o) {
-			unreachable++
+			cannotReach++
 		}
 	}
-	return 2*unreachable > voters
+	return 2*cannotReach > reachable
 }
 
 func (s *Service) declareDead(m *Member) {
@@ -249,17 +250,17 @@
 // instances, itself included. Without a majority it may be the one that is
 // partitioned from the others.
 func (s *Service) Majority() bool {
-	voters, reachable := 1, 1
+	listed, reachable := 1, 1
 	for id := range s.listed {
 		if id == s.env.Self.ID {
 			continue
 		}
-		voters++
+		listed++
 		if m, ok := s.members[id]; ok && !m.dead && !s.unreachable(m) {
 			reachable++
 		}
 	}
-	return 2*reachable > voters
+	return 2*reachable > listed
 }
 
 // Member returns what is known of a live member other than this instance. It returns
--- a/internal/service/ownership/ownership.go
+++ b/internal/service/ownership/ownership.go
@@ -44,16 +44,16 @@
 	logNext uint64        // next offset of the log, as of the last read
 	logAt   time.Duration // when the log last answered
 
-	claimID   uint64 // append id of the claim in flight, 0 when there is none
-	claimAt   time.Duration
-	backoff   time.Duration
-	nextClaim time.Duration
-	startedAt time.Duration
+	claimID   uint64        // append id of the claim in flight, 0 when there is none
+	claimAt   time.Duration // when the claim in flight was appended
+	backoff   time.Duration // mean delay before the next claim
+	nextClaim time.Duration // earliest time of the next claim
+	startedAt time.Duration // time of the first tick
 	started   bool
 }
 
 const (
-	claimInterval   = 500 * time.Millisecond
+	claimInterval   = 500 * time.Millisecond // mean delay after a successful claim; doubles with each failure
 	claimTimeout    = 5 * time.Second
 	maxClaimBackoff = 4 * time.Second
 )
@@ -178,9 +178,9 @@
 	return mine
 }
 
-// Target returns the member that is to own a shard: the one with the highest hash,
-// so that few shards move when a member joins or leaves. It returns false when there
-// are no members.
+// Target returns the member that is to own a shard. It uses rendezvous hashing, so
+// that few shards move when a member joins or leaves. It returns false when there are
+// no members.
 func Target(shard model.Shard, members []wire.Owner) (wire.Owner, bool) {
 	var best wire.Owner
 	var highest uint64
@@ -253,7 +253,7 @@
 func (s *Service) ShardOwners() [model.Shards]ShardOwner { return s.table }
 
 // FillHeartbeat adds to a heartbeat how far this instance has applied the log.
-func (s *Service) FillHeartbeat(b *wire.Heartbeat) {
-	b.Applied = s.applied
-	b.LogAge = s.env.Now() - s.logAt
+func (s *Service) FillHeartbeat(h *wire.Heartbeat) {
+	h.Applied = s.applied
+	h.LogAge = s.env.Now() - s.logAt
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -67,13 +67,13 @@
 // MemberDeadHandler is called when an incarnation of an instance is declared dead.
 type MemberDeadHandler interface{ OnMemberDead(o wire.Owner) }
 
-// ShardHandler is called when a shard gets a new owner.
+// ShardHandler is called when the owner or the term of a shard changes.
 type ShardHandler interface{ OnShardMoved(m ShardMove) }
 
 // ShardMove describes a change of a shard's owner or term. Before.Instance is empty
-// for a shard that had no owner. HandedOver means that the previous owner handed over
-// its records. ChangesMissed means that changes in between were not observed, because
-// the state was restored from a snapshot.
+// for a shard that had no owner. HandedOver means that a handover by the previous owner
+// caused the change. ChangesMissed means that changes in between were not observed,
+// because the state was restored from a snapshot.
 type ShardMove struct {
 	Shard         model.Shard
 	Before        wire.Owner
@@ -94,7 +94,7 @@
 }
 
 // CallerHandler is called when a caller's request arrives and when the caller
-// disconnects.
+// disconnects. The handle identifies the waiting caller.
 type CallerHandler interface {
 	OnRequest(handle uint64, r model.Request)
 	OnRequestGone(handle uint64)
--- a/internal/service/snapshots/snapshots.go
+++ b/internal/service/snapshots/snapshots.go
@@ -103,7 +103,8 @@
 }
 
 // Restore passes each service its part of a snapshot. It returns an error when a
-// service has no part or cannot decode it.
+// service has no part or cannot decode it; the services before it in the order of
+// registration are then restored already.
 func (s *Service) Restore(snap wire.Snapshot) error {
 	parts := make(map[string][]byte, len(snap.Parts))
 	for _, p := range snap.Parts {
