--- a/internal/core/catchup.go
+++ b/internal/core/catchup.go
@@ -26,7 +26,7 @@
 	applied uint64
 }
 
-// onHeartbeat stores that a peer is ahead and requests entries from it.
+// onHeartbeat stores the sender if it is ahead, and catches up if that is needed.
 func (r *logReader) onHeartbeat(from wire.Owner, heartbeat wire.Heartbeat) {
 	if heartbeat.Applied >= r.next {
 		r.ahead = aheadPeer{peer: from, applied: heartbeat.Applied}
@@ -34,8 +34,8 @@
 	r.catchUp()
 }
 
-// catchUp requests the next entries from the peer that is ahead while the log does
-// not answer or has dropped them.
+// catchUp requests the next entries, or a snapshot if many are missing, from the peer
+// that is ahead while the log does not answer or has dropped them.
 func (r *logReader) catchUp() {
 	now := r.env.Now()
 	if r.ahead.applied < r.next || now < r.nextFetch {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -41,15 +41,15 @@
 	kernel *kernel.Kernel
 	reader *logReader
 
-	ticks     []service.TickHandler
-	listings  []service.ListingHandler
-	messages  []service.MessageHandler
-	peerDowns []service.PeerDownHandler
-	workers   []service.WorkerHandler
-	appends   []service.AppendHandler
-	callers   []service.CallerHandler
-	drains    []service.DrainHandler
-	stepEnds  []service.StepEndHandler
+	tickHandlers     []service.TickHandler
+	listingHandlers  []service.ListingHandler
+	messageHandlers  []service.MessageHandler
+	peerDownHandlers []service.PeerDownHandler
+	workerHandlers   []service.WorkerHandler
+	appendHandlers   []service.AppendHandler
+	callerHandlers   []service.CallerHandler
+	drainHandlers    []service.DrainHandler
+	stepEndHandlers  []service.StepEndHandler
 }
 
 // binder is a service that looks up other services once all are registered.
@@ -97,15 +97,15 @@
 	}
 	return &Core{
 		env: env, kernel: k, reader: reader,
-		ticks:     kernel.All[service.TickHandler](k),
-		listings:  kernel.All[service.ListingHandler](k),
-		messages:  kernel.All[service.MessageHandler](k),
-		peerDowns: kernel.All[service.PeerDownHandler](k),
-		workers:   kernel.All[service.WorkerHandler](k),
-		appends:   kernel.All[service.AppendHandler](k),
-		callers:   kernel.All[service.CallerHandler](k),
-		drains:    kernel.All[service.DrainHandler](k),
-		stepEnds:  kernel.All[service.StepEndHandler](k),
+		tickHandlers:     kernel.All[service.TickHandler](k),
+		listingHandlers:  kernel.All[service.ListingHandler](k),
+		messageHandlers:  kernel.All[service.MessageHandler](k),
+		peerDownHandlers: kernel.All[service.PeerDownHandler](k),
+		workerHandlers:   kernel.All[service.WorkerHandler](k),
+		appendHandlers:   kernel.All[service.AppendHandler](k),
+		callerHandlers:   kernel.All[service.CallerHandler](k),
+		drainHandlers:    kernel.All[service.DrainHandler](k),
+		stepEndHandlers:  kernel.All[service.StepEndHandler](k),
 	}, nil
 }
 
@@ -120,7 +120,7 @@
 func (c *Core) Step(now time.Duration, e event.Event) []event.Action {
 	c.env.Begin(now)
 	c.handle(e)
-	for _, h := range c.stepEnds {
+	for _, h := range c.stepEndHandlers {
 		h.OnStepEnd()
 	}
 	return c.env.EndStep()
@@ -131,49 +131,49 @@
 	case event.Tick:
 		c.env.SetWall(e.Wall)
 		c.reader.catchUp()
-		for _, h := range c.ticks {
+		for _, h := range c.tickHandlers {
 			h.OnTick()
 		}
 	case event.LogRead:
-		c.reader.read(e)
+		c.reader.onLogRead(e)
 	case event.AppendDone:
-		for _, h := range c.appends {
+		for _, h := range c.appendHandlers {
 			h.OnAppendDone(e)
 		}
 	case event.Listed:
-		for _, h := range c.listings {
+		for _, h := range c.listingHandlers {
 			h.OnListing(e.Listing)
 		}
 	case event.PeerMessage:
-		c.message(e)
+		c.onMessage(e)
 	case event.PeerDown:
-		for _, h := range c.peerDowns {
+		for _, h := range c.peerDownHandlers {
 			h.OnPeerDown(e.Peer)
 		}
 	case event.RenewDone:
-		for _, h := range c.workers {
+		for _, h := range c.workerHandlers {
 			h.OnRenewDone(e)
 		}
 	case event.StartDone:
-		for _, h := range c.workers {
+		for _, h := range c.workerHandlers {
 			h.OnStartDone(e)
 		}
 	case event.RequestIn:
-		for _, h := range c.callers {
+		for _, h := range c.callerHandlers {
 			h.OnRequest(e.Handle, e.Request)
 		}
 	case event.RequestGone:
-		for _, h := range c.callers {
+		for _, h := range c.callerHandlers {
 			h.OnRequestGone(e.Handle)
 		}
 	case event.DrainStarted:
-		for _, h := range c.drains {
+		for _, h := range c.drainHandlers {
 			h.OnDrain()
 		}
 	}
 }
 
-func (c *Core) message(e event.PeerMessage) {
+func (c *Core) onMessage(e event.PeerMessage) {
 	switch m := e.Message.(type) {
 	case wire.FetchLog:
 		c.reader.serveEntries(e.From, m)
@@ -190,7 +190,7 @@
 	case wire.Heartbeat:
 		c.reader.onHeartbeat(e.From, m)
 	}
-	for _, h := range c.messages {
+	for _, h := range c.messageHandlers {
 		h.OnMessage(e.From, e.Message)
 	}
 }
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -31,8 +31,8 @@
 type cell struct {
 	t               *testing.T
 	now             time.Duration
-	startTime       time.Time // time of day when now is 0, zero if unknown
-	skew            map[model.InstanceID]time.Duration
+	startTime       time.Time                          // time of day when now is 0, zero if unknown
+	skew            map[model.InstanceID]time.Duration // error of an instance's clock
 	cores           map[model.InstanceID]*Core
 	instances       []platform.Instance
 	logUnreachable  map[model.InstanceID]bool
@@ -40,8 +40,8 @@
 	oldest          uint64
 	answers         map[uint64]model.Answer
 	sent            map[string]int
-	dropped         func(m wire.Message) bool
-	snapshotOffsets []uint64 // offsets of the entries that contain a snapshot
+	dropped         func(m wire.Message) bool // reports whether a message is lost; nil loses none
+	snapshotOffsets []uint64                  // offsets of the entries that contain a snapshot
 	workers         []model.Worker
 	pendingRenewals map[model.InstanceID][]renewal
 }
--- a/internal/core/hours_test.go
+++ b/internal/core/hours_test.go
@@ -13,7 +13,7 @@
 	"pollenbend/internal/service/limits"
 )
 
-func eveningPolicy(zone string, from, until time.Duration) model.Declarations {
+func hoursPolicy(zone string, from, until time.Duration) model.Declarations {
 	return model.Declarations{
 		Teams:    []model.Team{{Name: "t", Share: 3}},
 		Policies: []model.Policy{{Name: "p", Team: "t", TimeZone: zone, From: from, Until: until, Share: 9, Limit: 1}},
@@ -45,7 +45,7 @@
 	} {
 		t.Run(tt.zone+" "+tt.first, func(t *testing.T) {
 			c := newCell(t, "a")
-			c.change("1", 0, eveningPolicy(tt.zone, tt.from, tt.until))
+			c.change("1", 0, hoursPolicy(tt.zone, tt.from, tt.until))
 			c.run(stepTime)
 			require.EqualValues(t, 3, c.config("a").Teams()[0].Share, "policies have no effect while the time of day is unknown")
 			require.Zero(t, c.config("a").Limit("t"))
@@ -85,7 +85,7 @@
 			c := newCell(t, "a", "b", "c")
 			c.listWorkers(24)
 			c.startTime = time.Date(2026, 3, 29, 16, 29, 0, 0, time.UTC)
-			c.change("1", 0, eveningPolicy("Europe/Dublin", 17*time.Hour+30*time.Minute, 20*time.Hour))
+			c.change("1", 0, hoursPolicy("Europe/Dublin", 17*time.Hour+30*time.Minute, 20*time.Hour))
 			c.run(30 * time.Second)
 			require.Equal(t, 3, c.mayStart("t"), "there is no limit before the hour")
 
--- a/internal/core/logreader.go
+++ b/internal/core/logreader.go
@@ -13,15 +13,15 @@
 // logReader applies log entries in order, whether they come from the log or from a
 // peer, and retains the latest ones for peers that cannot reach the log.
 type logReader struct {
-	env     *event.Env
-	entries []service.EntryHandler
-	records []service.RecordHandler
-	logs    []service.LogHandler
+	env            *event.Env
+	entryHandlers  []service.EntryHandler
+	recordHandlers []service.RecordHandler
+	logHandlers    []service.LogHandler
 
 	snapshots snapshotter
 
-	next     uint64 // offset of the next entry to apply
-	recent   []platform.Entry
+	next     uint64           // offset of the next entry to apply
+	recent   []platform.Entry // latest applied entries, retained for peers
 	buffered []platform.Entry // entries read while the log has dropped the next one to apply
 	trimmed  bool             // whether the log has dropped the next entry to apply
 
@@ -31,25 +31,27 @@
 }
 
 const (
-	firstOffset      = 1
-	maxRecentEntries = 4096
-	maxServedEntries = 256
+	firstOffset      = 1    // offset of the log's first entry
+	maxRecentEntries = 4096 // entries retained for peers; trimmed once there are twice as many
+	maxServedEntries = 256  // entries in one message to a peer
 )
 
 func newLogReader(env *event.Env, k *kernel.Kernel) (*logReader, error) {
 	snaps, err := kernel.Find[snapshotter](k, service.Snapshots)
 	return &logReader{
-		env:     env,
-		entries: kernel.All[service.EntryHandler](k),
-		records: kernel.All[service.RecordHandler](k),
-		logs:    kernel.All[service.LogHandler](k),
-		next:    firstOffset,
+		env:            env,
+		entryHandlers:  kernel.All[service.EntryHandler](k),
+		recordHandlers: kernel.All[service.RecordHandler](k),
+		logHandlers:    kernel.All[service.LogHandler](k),
+		next:           firstOffset,
 
 		snapshots: snaps,
 	}, err
 }
 
-func (r *logReader) read(e event.LogRead) {
+// onLogRead applies the entries of a log read. If the log has dropped the next entry to
+// apply, it looks for a snapshot among them.
+func (r *logReader) onLogRead(e event.LogRead) {
 	r.logAt = r.env.Now()
 	if e.Oldest > r.next {
 		r.findSnapshot(e.Entries)
@@ -58,7 +60,7 @@
 		r.applyEntries(e.Entries)
 	}
 	r.trimmed = e.Oldest > r.next
-	for _, h := range r.logs {
+	for _, h := range r.logHandlers {
 		h.OnLog(service.LogState{Oldest: e.Oldest, Next: e.Next, AskedAt: e.AskedAt})
 	}
 }
@@ -77,18 +79,20 @@
 	}
 }
 
+// apply passes the records of an entry to the services. An entry that cannot be decoded
+// counts as applied without records.
 func (r *logReader) apply(e platform.Entry) {
 	r.next = e.Offset + 1
 	r.retain(e)
 	records, err := wire.DecodeEntry(e.Data)
 	if err == nil {
 		for _, rec := range records {
-			for _, h := range r.records {
+			for _, h := range r.recordHandlers {
 				h.OnRecord(e.Offset, rec)
 			}
 		}
 	}
-	for _, h := range r.entries {
+	for _, h := range r.entryHandlers {
 		h.OnEntry(e.Offset)
 	}
 }
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -25,7 +25,7 @@
 			break
 		}
 	}
-	r.applyEntries(entries)
+	r.applyEntries(entries) // those after the snapshot, if one was restored
 	if len(r.buffered) > 2*maxRecentEntries {
 		r.buffered = append([]platform.Entry(nil), r.buffered[len(r.buffered)-maxRecentEntries:]...)
 	}
@@ -47,8 +47,9 @@
 	return false
 }
 
-// installSnapshot replaces the state by a snapshot of a later one and applies the
-// buffered entries after it. It reports whether it did.
+// installSnapshot replaces the state with a later one from a snapshot and applies the
+// buffered entries after it. It returns false when the snapshot is not later than the
+// state or cannot be restored.
 func (r *logReader) installSnapshot(s wire.Snapshot) bool {
 	if s.Applied < r.next {
 		return false
@@ -58,7 +59,7 @@
 	}
 	r.next = s.Applied + 1
 	r.recent = nil
-	for _, h := range r.entries {
+	for _, h := range r.entryHandlers {
 		h.OnEntry(s.Applied)
 	}
 	buffered := r.buffered
@@ -67,7 +68,7 @@
 	return true
 }
 
-// onSnapshotState adopts a peer's state. When that fails, the next request is
+// onSnapshotState installs a peer's state. When that fails, the next request is
 // delayed.
 func (r *logReader) onSnapshotState(m wire.SnapshotState) {
 	if !r.installSnapshot(m.Snapshot) {
--- a/internal/core/restore_test.go
+++ b/internal/core/restore_test.go
@@ -54,6 +54,8 @@
 	}
 }
 
+// TestRestoreMatchesReplay compares an instance that applied every entry with one that
+// stopped early and then reads a log that has dropped its oldest entries.
 func TestRestoreMatchesReplay(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newCell(t, "full", "late")
@@ -93,6 +95,8 @@
 	return records[0].(wire.Snapshot).Applied
 }
 
+// TestSnapshotsPrecedeRetention checks that the log always contains a snapshot from
+// which a new instance can start, although it keeps only the entries of 10 minutes.
 func TestSnapshotsPrecedeRetention(t *testing.T) {
 	const kept = 600 // entries; at one entry per second the log keeps 10 minutes
 	c := newCell(t, "a", "b", "c")
