--- a/internal/event/env.go
+++ b/internal/event/env.go
@@ -26,14 +26,14 @@
 	Self   platform.Instance
 	Timing Timing
 
-	now         time.Duration
-	resumedAt   time.Duration
-	wall        time.Time
-	rng         *rand.Rand
-	actions     []Action
-	appends     uint64
-	notes       uint64
-	recentNotes []Note
+	now          time.Duration
+	resumedAt    time.Duration
+	wall         time.Time
+	rng          *rand.Rand
+	actions      []Action
+	lastAppendID uint64
+	lastNoteSeq  uint64
+	recentNotes  []Note
 }
 
 // NewEnv returns an Env whose random numbers are derived from seed and the
@@ -70,9 +70,9 @@
 // Append emits records for the log and returns the id that the AppendDone will
 // carry.
 func (e *Env) Append(records ...wire.Record) uint64 {
-	e.appends++
-	e.Emit(Append{ID: e.appends, Records: records})
-	return e.appends
+	e.lastAppendID++
+	e.Emit(Append{ID: e.lastAppendID, Records: records})
+	return e.lastAppendID
 }
 
 // pauseThreshold is a time between steps that is only exceeded when the process was
@@ -88,9 +88,9 @@
 	e.actions = nil
 }
 
-// ResumedAt returns when the last pause of this process ended, or when it started.
-// Input that arrives just after that may have been queued during the pause and be
-// outdated.
+// ResumedAt returns when the last pause of this process ended, or 0 if it was never
+// paused. Input that arrives just after that may have been queued during the pause and
+// be outdated.
 func (e *Env) ResumedAt() time.Duration { return e.resumedAt }
 
 // EndStep ends the step and returns its actions.
@@ -105,8 +105,8 @@
 
 // Note adds an event to the timeline and returns its sequence number.
 func (e *Env) Note(n Note) uint64 {
-	e.notes++
-	n.Seq, n.At = e.notes, e.now
+	e.lastNoteSeq++
+	n.Seq, n.At = e.lastNoteSeq, e.now
 	e.recentNotes = append(e.recentNotes, n)
 	if len(e.recentNotes) >= 2*maxNotes {
 		e.recentNotes = append([]Note(nil), e.recentNotes[len(e.recentNotes)-maxNotes:]...)
@@ -117,11 +117,11 @@
 
 // Notes returns the kept events of the timeline with a sequence number above since.
 func (e *Env) Notes(since uint64) []Note {
-	first := e.notes - uint64(len(e.recentNotes)) + 1
+	first := e.lastNoteSeq - uint64(len(e.recentNotes)) + 1
 	if since+1 < first {
 		since = first - 1
 	}
-	if since >= e.notes {
+	if since >= e.lastNoteSeq {
 		return nil
 	}
 	return e.recentNotes[since+1-first:]
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -45,11 +45,13 @@
 	Message wire.Message
 }
 
-// PeerDown reports that the connection to a peer is lost. Messages recently sent to
-// it may not have arrived.
+// PeerDown reports that the connection to a peer is lost, or that a message to it was
+// dropped because the connection's queue was full. Messages recently sent to the peer
+// may not have arrived.
 type PeerDown struct{ Peer wire.Owner }
 
-// RenewDone is the result of a Renew.
+// RenewDone is the result of a Renew. Full is that of the request. Failed means that
+// there is no reply.
 type RenewDone struct {
 	Worker model.WorkerID
 	Lease  platform.LeaseRef
@@ -59,7 +61,8 @@
 	Failed bool
 }
 
-// StartDone is the result of a Start.
+// StartDone is the result of a Start. Seq is that of the request. Reason is the text of
+// the error, empty when there was none.
 type StartDone struct {
 	Worker  model.WorkerID
 	Lease   platform.LeaseRef
--- a/internal/model/declarations.go
+++ b/internal/model/declarations.go
@@ -49,8 +49,9 @@
 }
 
 // Policy is a rule for certain hours of the day in an IANA time zone. During these
-// hours its share and limit replace those of the team. Selectors never depend on the
-// hour.
+// hours its share and limit replace those of the team; 0 keeps the team's value. The
+// hours span midnight if Until is before From. Selectors never depend on the time of
+// day.
 type Policy struct {
 	Name     string        `json:"name" cbor:"1,keyasint" toml:"name"`
 	Team     TeamID        `json:"team" cbor:"2,keyasint" toml:"team"`
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -15,8 +15,8 @@
 // TeamID identifies a team.
 type TeamID string
 
-// TaskID identifies a task in the whole fleet. A task runs at most once, on one
-// worker.
+// TaskID identifies a task in the whole fleet. A task id is started at most once, on
+// one worker; a later run of the task has an id of its own (see WithRun).
 type TaskID string
 
 // JobID identifies an accepted job.
@@ -64,7 +64,8 @@
 	Rack   string `json:"rack,omitempty" cbor:"3,keyasint,omitempty" toml:"rack,omitempty"`
 }
 
-// Worker describes a worker as the platform lists it.
+// Worker describes a worker as the platform lists it. A Leaving worker gets no new
+// tasks.
 type Worker struct {
 	ID       WorkerID          `json:"id" cbor:"1,keyasint"`
 	Addr     string            `json:"addr" cbor:"2,keyasint"`
@@ -191,7 +192,7 @@
 	Message  string        `json:"message,omitempty" cbor:"3,keyasint,omitempty"`
 	Answer   []byte        `json:"answer,omitempty" cbor:"4,keyasint,omitempty"`
 	Complete bool          `json:"complete,omitempty" cbor:"5,keyasint,omitempty"`
-	Ran      time.Duration `json:"ran,omitempty" cbor:"6,keyasint,omitempty"`
-	Usage    Resources     `json:"usage,omitempty" cbor:"7,keyasint,omitempty"`
+	Ran      time.Duration `json:"ran,omitempty" cbor:"6,keyasint,omitempty"`     // run time
+	Usage    Resources     `json:"usage,omitempty" cbor:"7,keyasint,omitempty"`   // resources that the task used
 	Stopped  bool          `json:"stopped,omitempty" cbor:"8,keyasint,omitempty"` // ended by a stop command or an expired lease
 }
--- a/internal/model/shard.go
+++ b/internal/model/shard.go
@@ -19,8 +19,7 @@
 // ShardOfWorker returns the shard whose owner may lease the worker.
 func ShardOfWorker(id WorkerID) Shard { return hashShard("w/" + string(id)) }
 
-// ShardOfTeam returns the shard whose owner is responsible for the team's upper
-// limit.
+// ShardOfTeam returns the shard whose owner is responsible for the team's limit.
 func ShardOfTeam(id TeamID) Shard { return hashShard("t/" + string(id)) }
 
 // ShardOfRequest returns the shard whose owner remembers the request. A ticket
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -7,9 +7,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
+// kind identifies the type of an encoded record or message.
 type kind uint8
 
-// The values are part of the encoding and must never change.
+// Kinds of records. The values of all kinds are part of the encoding and must never
+// change.
 const (
 	kindClaim kind = iota + 1
 	kindHandover
@@ -20,6 +22,7 @@
 	kindSnapshot
 )
 
+// Kinds of messages begin at 64, so that they differ from those of records.
 const (
 	kindHeartbeat kind = iota + 64
 	kindCoverage
--- a/internal/wire/gang.go
+++ b/internal/wire/gang.go
@@ -13,12 +13,11 @@
 	ID      uint64        `cbor:"1,keyasint" json:"id"`
 	Tasks   []model.Task  `cbor:"2,keyasint" json:"tasks"`
 	Term    uint64        `cbor:"3,keyasint" json:"term"`
-	Expires time.Duration `cbor:"4,keyasint" json:"expires"` // measured from receipt
+	Expires time.Duration `cbor:"4,keyasint" json:"expires"` // duration of the reservation, measured from receipt
 }
 
 // Held answers a HoldTasks with the tasks for which capacity is reserved. Limited
-// reports that other tasks had capacity but were refused because of the team's upper
-// limit.
+// reports that other tasks had capacity but were refused because of the team's limit.
 type Held struct {
 	ID      uint64         `cbor:"1,keyasint" json:"id"`
 	Tasks   []model.TaskID `cbor:"2,keyasint,omitempty" json:"tasks,omitempty"`
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -28,10 +28,10 @@
 // load on its workers.
 type Heartbeat struct {
 	Seq       uint64          `cbor:"1,keyasint" json:"seq"`
-	Applied   uint64          `cbor:"2,keyasint" json:"applied"`                   // offset of the last log entry applied
-	Reachable []Owner         `cbor:"3,keyasint,omitempty" json:"hears,omitempty"` // instances that the sender can reach
-	Leaving   bool            `cbor:"4,keyasint,omitempty" json:"leaving,omitempty"`
-	Free      model.Resources `cbor:"5,keyasint" json:"free"` // on workers whose lease the sender holds
+	Applied   uint64          `cbor:"2,keyasint" json:"applied"`                     // offset of the last log entry applied
+	Reachable []Owner         `cbor:"3,keyasint,omitempty" json:"hears,omitempty"`   // instances that the sender can reach
+	Leaving   bool            `cbor:"4,keyasint,omitempty" json:"leaving,omitempty"` // the sender is shutting down and gets no further shards
+	Free      model.Resources `cbor:"5,keyasint" json:"free"`                        // on workers whose lease the sender holds
 	Teams     []TeamLoad      `cbor:"6,keyasint,omitempty" json:"teams,omitempty"`
 	Coverage  uint64          `cbor:"7,keyasint" json:"coverage"` // version of the sender's Coverage
 	LogAge    time.Duration   `cbor:"8,keyasint" json:"log_age"`  // since the sender last reached the log
@@ -55,8 +55,8 @@
 	Seq     uint64       `cbor:"3,keyasint" json:"seq"`
 	Ceiling int64        `cbor:"4,keyasint" json:"ceiling"`
 	Limit   int64        `cbor:"6,keyasint" json:"limit"` // limit that the shard owner split
-	// To is the incarnation of the receiver for which the grant is meant; a later one
-	// has its own account.
+	// To is the incarnation of the receiver for which the grant is meant. A later
+	// incarnation ignores the grant; it gets grants of its own.
 	To model.Incarnation `cbor:"7,keyasint" json:"to"`
 	// HeartbeatSeq is the sequence number of the receiver's heartbeat on which the
 	// grant is based.
@@ -126,10 +126,10 @@
 	Age     time.Duration `cbor:"3,keyasint" json:"age"`
 }
 
-// Located answers a Locate with the tasks that were seen, and the workers for which
-// it is certain that no others were. Restarted lists the covered workers that
-// restarted within the age in question: they may have run a task and lost their
-// record of it.
+// Located answers a Locate with the tasks that were seen. Covered lists the workers on
+// which certainly none of the other tasks was seen. Restarted lists the covered workers
+// that restarted within the highest Age of the tasks: they may have run a task and lost
+// their record of it.
 type Located struct {
 	ID        uint64           `cbor:"1,keyasint" json:"id"`
 	Seen      []TaskState      `cbor:"2,keyasint,omitempty" json:"seen,omitempty"`
@@ -183,9 +183,9 @@
 	Entries []RequestMemory `cbor:"3,keyasint,omitempty" json:"entries,omitempty"`
 }
 
-// ShardMemory describes for which tickets the memory of a shard is complete: those
-// issued in term ExactFrom or later. PastAge is the time since memory was lost
-// before that, 0 when it never was.
+// ShardMemory describes how complete the records of a shard's requests are: they
+// contain every request with a ticket issued in term ExactFrom or later. PastAge is the
+// time since records of earlier requests were last lost, 0 when they never were.
 type ShardMemory struct {
 	ShardTerm ShardTerm     `cbor:"1,keyasint" json:"shard_term"`
 	ExactFrom uint64        `cbor:"2,keyasint" json:"exact_from"`
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -15,7 +15,7 @@
 	Term  uint64      `cbor:"2,keyasint" json:"term"`
 }
 
-// Owner is an instance in one of its incarnations.
+// Owner is an instance in one of its incarnations, whether or not it owns shards.
 type Owner struct {
 	Instance    model.InstanceID  `cbor:"1,keyasint" json:"instance"`
 	Incarnation model.Incarnation `cbor:"2,keyasint" json:"incarnation"`
