--- a/internal/declare/parse_test.go
+++ b/internal/declare/parse_test.go
@@ -84,7 +84,7 @@
 	require.Equal(t, []int{4, 4, 4, 6}, lines)
 }
 
-func TestLoadTakesFilesTogether(t *testing.T) {
+func TestLoadValidatesFilesTogether(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
--- a/internal/declare/policy.go
+++ b/internal/declare/policy.go
@@ -10,7 +10,8 @@
 
 // TeamAt returns a team with the share and limit in effect at now. A policy that
 // is active at now overrides the declared values; if several are active, the last
-// by name wins. A policy whose time zone is unknown on this machine has no effect.
+// by name that sets a value wins. A policy whose time zone is unknown on this machine
+// has no effect.
 func (s *State) TeamAt(id model.TeamID, now time.Time) (model.Team, bool) {
 	t, ok := s.teams[id]
 	if !ok {
@@ -24,8 +25,8 @@
 	return t, true
 }
 
-// HasLimit reports whether the team has a limit at any hour: its own or that of a
-// policy, even of one whose time zone is unknown on this machine.
+// HasLimit reports whether the team has a limit at any time of day: its own or that of
+// a policy, even of one whose time zone is unknown on this machine.
 func (s *State) HasLimit(id model.TeamID) bool {
 	if s.teams[id].Limit > 0 {
 		return true
@@ -33,8 +34,8 @@
 	return slices.ContainsFunc(s.policiesByTeam[id], func(p policyWithLocation) bool { return p.Limit > 0 })
 }
 
-// MaxLimit returns the highest limit of the team at any hour, or 0 if the team has
-// no limit at some hour.
+// MaxLimit returns the highest limit of the team at any time of day, or 0 if the team
+// itself has no limit.
 func (s *State) MaxLimit(id model.TeamID) int64 {
 	limit := s.teams[id].Limit
 	if limit == 0 {
--- a/internal/declare/selector.go
+++ b/internal/declare/selector.go
@@ -73,7 +73,7 @@
 	return append(terms, text[start:])
 }
 
-// parseTerm parses one term and reports whether it is valid.
+// parseTerm parses one term and reports whether it is valid. It accepts "==" for "=".
 func parseTerm(term string) (model.Requirement, bool) {
 	if m := setPattern.FindStringSubmatch(term); m != nil {
 		return newSetRequirement(m[1], m[2], strings.Split(m[3], ","))
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -13,7 +13,7 @@
 // timing.heartbeat.
 const (
 	maxBodyBytes          = 1 << 30
-	maxQueue              = 1 << 20
+	maxQueuePerTeam       = 1 << 20
 	maxDuration           = 24 * time.Hour
 	minHeartbeatsToDead   = 3 // missed in a row before an instance is considered dead
 	minHeartbeatsPerLease = 2 // within a worker lease, and within timing.config_freshness
@@ -26,7 +26,7 @@
 	checkAddress(c, "listen.http", s.Listen.HTTP)
 	checkAddress(c, "listen.peer", s.Listen.Peer)
 	if s.Listen.HTTP == s.Listen.Peer && s.Listen.Peer != "" {
-		checkSamePort(c, s.Listen.Peer)
+		reportSameAddress(c, s.Listen.Peer)
 	}
 	checkURL(c, "platform.log_url", s.Platform.LogURL)
 	checkURL(c, "platform.list_url", s.Platform.ListURL)
@@ -53,9 +53,9 @@
 	}
 }
 
-// checkSamePort reports two listeners on the same address. Port 0 is exempt, since
+// reportSameAddress reports two listeners on the same address. Port 0 is exempt, since
 // it stands for any free port.
-func checkSamePort(c *tomlfile.Checker, addr string) {
+func reportSameAddress(c *tomlfile.Checker, addr string) {
 	if ap, err := netip.ParseAddrPort(addr); err == nil && ap.Port() != 0 {
 		c.Add("listen.peer", "expected an address other than listen.http, got %q", addr)
 	}
@@ -99,8 +99,8 @@
 	if l.MaxBody.Bytes < 1 || l.MaxBody.Bytes > maxBodyBytes {
 		c.Add("limits.max_body", "expected a size from 1B to 1GiB, got %s", l.MaxBody)
 	}
-	if l.MaxQueuePerTeam < 1 || l.MaxQueuePerTeam > maxQueue {
-		c.Add("limits.max_queue_per_team", "expected a number from 1 to %d, got %d", maxQueue, l.MaxQueuePerTeam)
+	if l.MaxQueuePerTeam < 1 || l.MaxQueuePerTeam > maxQueuePerTeam {
+		c.Add("limits.max_queue_per_team", "expected a number from 1 to %d, got %d", maxQueuePerTeam, l.MaxQueuePerTeam)
 	}
 	checkDuration(c, "limits.request_timeout", l.RequestTimeout.Duration)
 	checkDuration(c, "limits.retention", l.Retention.Duration)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -62,6 +62,7 @@
 
 // Limits bounds what one instance stores and how long.
 type Limits struct {
+	// MaxBody is the maximum size of the body of an HTTP request.
 	MaxBody         units.Size     `toml:"max_body"`
 	MaxQueuePerTeam int            `toml:"max_queue_per_team"`
 	RequestTimeout  units.Duration `toml:"request_timeout"`
