--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -38,7 +38,7 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	ca := devCA(b, "a")
 	to, _ := listen(b, ca, "entry-2", nil)
-	proxy := newRelay(b, to.Addr())
+	proxy := newUDPProxy(b, to.Addr())
 	const heartbeat = 100 * time.Millisecond
 	from, events := listen(b, ca, "entry-1", func(c *Config) { c.Heartbeat, c.DeadAfter = heartbeat, time.Minute })
 	from.SetPeers(peerAt("entry-2", proxy.frontSocket.LocalAddr().String()))
--- a/internal/transport/heartbeat.go
+++ b/internal/transport/heartbeat.go
@@ -3,7 +3,8 @@
 import "time"
 
 // heartbeat decides when a connection's next ping is due and when the peer has
-// not answered in time. It is owned by one goroutine.
+// not answered in time. It is owned by one goroutine. It is independent of the
+// heartbeat messages with which instances report their state.
 type heartbeat struct {
 	idleInterval time.Duration // between pings while no payload is sent
 	timeout      time.Duration
--- a/internal/transport/identity.go
+++ b/internal/transport/identity.go
@@ -21,8 +21,8 @@
 const alpnProtocol = "pollenbend/1"
 
 // Identity holds the credentials of an instance in PEM: the certificate of the
-// authority that signs all instances, the instance's own certificate, whose DNS
-// name is the instance id, and its private key.
+// authority that signs the certificates of all instances, the instance's own
+// certificate, whose DNS name is the instance id, and its private key.
 type Identity struct {
 	CAPEM   []byte
 	CertPEM []byte
@@ -78,7 +78,8 @@
 	devNotAfter  = time.Date(2120, time.January, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// NewDevCA reads a seed of 32 bytes and derives an authority from it.
+// NewDevCA reads a seed of 32 bytes and derives an authority from it. It returns an
+// error when the seed is shorter.
 func NewDevCA(seed io.Reader) (*DevCA, error) {
 	buf := make([]byte, ed25519.SeedSize)
 	if _, err := io.ReadFull(seed, buf); err != nil {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -94,7 +94,9 @@
 	inbound  map[model.InstanceID]*inbound
 }
 
-// Listen opens the UDP socket and starts accepting peers.
+// Listen opens the UDP socket and starts accepting peers. It returns an error when the
+// credentials are invalid or the address cannot be used. The caller must call Close to
+// release the socket.
 func Listen(cfg Config) (*Transport, error) {
 	cfg.setDefaults()
 	server, client, err := cfg.TLS.tlsConfigs()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -75,32 +75,32 @@
 
 func TestOrderedAndBulk(t *testing.T) {
 	ca := devCA(t, "a")
-	a, ra := listen(t, ca, "entry-1", nil)
-	b, rb := listen(t, ca, "entry-2", func(c *Config) { c.Incarnation = 9 })
+	a, aEvents := listen(t, ca, "entry-1", nil)
+	b, bEvents := listen(t, ca, "entry-2", func(c *Config) { c.Incarnation = 9 })
 	require.False(t, a.Send("entry-2", []byte("early")))
 	a.SetPeers(peerAt("entry-2", b.Addr()))
-	require.Equal(t, model.Incarnation(9), <-ra.up)
+	require.Equal(t, model.Incarnation(9), <-aEvents.up)
 
 	const count = orderedQueueLength
 	for i := range count {
 		require.True(t, a.Send("entry-2", fmt.Appendf(nil, "%d", i)))
 	}
 	for i := range count {
-		require.Equal(t, message{"entry-1", 7, fmt.Appendf(nil, "%d", i)}, <-rb.messages)
+		require.Equal(t, message{"entry-1", 7, fmt.Appendf(nil, "%d", i)}, <-bEvents.messages)
 	}
 
 	large := bytes.Repeat([]byte("x"), MaxPayload)
 	require.True(t, a.Send("entry-2", large))
-	require.Equal(t, large, (<-rb.messages).payload)
+	require.Equal(t, large, (<-bEvents.messages).payload)
 	require.False(t, a.Send("entry-2", append(large, 'x')))
 }
 
 func TestCloseDrains(t *testing.T) {
 	ca := devCA(t, "a")
-	a, ra := listen(t, ca, "entry-1", nil)
-	b, rb := listen(t, ca, "entry-2", nil)
+	a, aEvents := listen(t, ca, "entry-1", nil)
+	b, bEvents := listen(t, ca, "entry-2", nil)
 	a.SetPeers(peerAt("entry-2", b.Addr()))
-	<-ra.up
+	<-aEvents.up
 
 	const count = 500
 	for range count {
@@ -109,8 +109,8 @@
 	require.True(t, a.Send("entry-2", bytes.Repeat([]byte("z"), 1<<20)))
 	require.NoError(t, a.Close(context.Background()))
 	require.False(t, a.Send("entry-2", nil))
-	require.Len(t, rb.messages, count+1)
-	<-ra.down
+	require.Len(t, bEvents.messages, count+1)
+	<-aEvents.down
 }
 
 func TestQueueIsBounded(t *testing.T) {
@@ -163,15 +163,15 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			failed := make(failures, 1<<10)
-			b, rb := listen(t, ca, "entry-2", nil)
-			a, ra := listen(t, ca, "entry-1", func(c *Config) {
+			b, bEvents := listen(t, ca, "entry-2", nil)
+			a, aEvents := listen(t, ca, "entry-1", func(c *Config) {
 				c.Self, c.TLS, c.Logger = tt.self, tt.identity, slog.New(failed)
 			})
 			a.SetPeers(peerAt(tt.peer, b.Addr()))
 			<-failed
 			<-failed
-			require.Empty(t, ra.up)
-			require.Empty(t, rb.messages)
+			require.Empty(t, aEvents.up)
+			require.Empty(t, bEvents.messages)
 			require.False(t, a.Send(tt.peer, nil))
 		})
 	}
@@ -179,25 +179,25 @@
 
 func TestRestartedPeer(t *testing.T) {
 	ca := devCA(t, "a")
-	a, ra := listen(t, ca, "entry-1", nil)
+	a, aEvents := listen(t, ca, "entry-1", nil)
 	b, _ := listen(t, ca, "entry-2", nil)
 	addr := b.Addr()
 	a.SetPeers(peerAt("entry-2", addr))
-	require.Equal(t, model.Incarnation(7), <-ra.up)
+	require.Equal(t, model.Incarnation(7), <-aEvents.up)
 	closeNow(b)
-	require.Equal(t, model.Incarnation(7), <-ra.down)
-	_, rb := listen(t, ca, "entry-2", func(c *Config) { c.Incarnation, c.Listen = 8, addr })
-	require.Equal(t, model.Incarnation(8), <-ra.up)
+	require.Equal(t, model.Incarnation(7), <-aEvents.down)
+	_, bEvents := listen(t, ca, "entry-2", func(c *Config) { c.Incarnation, c.Listen = 8, addr })
+	require.Equal(t, model.Incarnation(8), <-aEvents.up)
 	require.True(t, a.Send("entry-2", []byte("again")))
-	require.Equal(t, "again", string((<-rb.messages).payload))
+	require.Equal(t, "again", string((<-bEvents.messages).payload))
 	a.SetPeers(nil)
-	require.Equal(t, model.Incarnation(8), <-ra.down)
+	require.Equal(t, model.Incarnation(8), <-aEvents.down)
 }
 
-// relay forwards datagrams between clients and one target. It can drop the
+// udpProxy forwards datagrams between clients and one target. It can drop the
 // datagrams of existing clients while it forwards those of new ones. The maps are
 // keyed by the client's address.
-type relay struct {
+type udpProxy struct {
 	frontSocket        *net.UDPConn
 	target             *net.UDPAddr
 	mu                 sync.Mutex
@@ -207,88 +207,88 @@
 	forwardedDatagrams atomic.Int64
 }
 
-func (r *relay) countDatagram(n int) {
-	r.forwardedBytes.Add(int64(n))
-	r.forwardedDatagrams.Add(1)
+func (p *udpProxy) countDatagram(n int) {
+	p.forwardedBytes.Add(int64(n))
+	p.forwardedDatagrams.Add(1)
 }
 
-func newRelay(t testing.TB, target string) *relay {
+func newUDPProxy(t testing.TB, target string) *udpProxy {
 	t.Helper()
 	addr, err := net.ResolveUDPAddr("udp", target)
 	require.NoError(t, err)
 	frontSocket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
-	r := &relay{frontSocket: frontSocket, target: addr, upstreams: make(map[string]*net.UDPConn), blocked: make(map[string]bool)}
-	go r.forwardRequests()
-	t.Cleanup(r.close)
-	return r
+	p := &udpProxy{frontSocket: frontSocket, target: addr, upstreams: make(map[string]*net.UDPConn), blocked: make(map[string]bool)}
+	go p.forwardRequests()
+	t.Cleanup(p.close)
+	return p
 }
 
-func (r *relay) close() {
-	_ = r.frontSocket.Close()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, upstream := range r.upstreams {
+func (p *udpProxy) close() {
+	_ = p.frontSocket.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, upstream := range p.upstreams {
 		_ = upstream.Close()
 	}
 }
 
-func (r *relay) forwardRequests() {
+func (p *udpProxy) forwardRequests() {
 	buf := make([]byte, 1<<16)
 	for {
-		n, from, err := r.frontSocket.ReadFromUDP(buf)
+		n, from, err := p.frontSocket.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		if upstream := r.upstream(from); upstream != nil {
-			r.countDatagram(n)
+		if upstream := p.upstream(from); upstream != nil {
+			p.countDatagram(n)
 			_, _ = upstream.Write(buf[:n])
 		}
 	}
 }
 
 // upstream returns the client's socket to the target, or nil for a blocked client.
-func (r *relay) upstream(from *net.UDPAddr) *net.UDPConn {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (p *udpProxy) upstream(from *net.UDPAddr) *net.UDPConn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	key := from.String()
-	if r.blocked[key] {
+	if p.blocked[key] {
 		return nil
 	}
-	if r.upstreams[key] == nil {
-		upstream, err := net.DialUDP("udp", nil, r.target)
+	if p.upstreams[key] == nil {
+		upstream, err := net.DialUDP("udp", nil, p.target)
 		if err != nil {
 			return nil
 		}
-		r.upstreams[key] = upstream
-		go r.forwardReplies(upstream, from)
+		p.upstreams[key] = upstream
+		go p.forwardReplies(upstream, from)
 	}
-	return r.upstreams[key]
+	return p.upstreams[key]
 }
 
-func (r *relay) forwardReplies(upstream *net.UDPConn, to *net.UDPAddr) {
+func (p *udpProxy) forwardReplies(upstream *net.UDPConn, to *net.UDPAddr) {
 	buf := make([]byte, 1<<16)
 	for {
 		n, err := upstream.Read(buf)
 		if err != nil {
 			return
 		}
-		r.mu.Lock()
-		drop := r.blocked[to.String()]
-		r.mu.Unlock()
+		p.mu.Lock()
+		drop := p.blocked[to.String()]
+		p.mu.Unlock()
 		if !drop {
-			r.countDatagram(n)
-			_, _ = r.frontSocket.WriteToUDP(buf[:n], to)
+			p.countDatagram(n)
+			_, _ = p.frontSocket.WriteToUDP(buf[:n], to)
 		}
 	}
 }
 
 // blockExisting drops all further datagrams from and to the present clients.
-func (r *relay) blockExisting() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for key := range r.upstreams {
-		r.blocked[key] = true
+func (p *udpProxy) blockExisting() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for key := range p.upstreams {
+		p.blocked[key] = true
 	}
 }
 
@@ -296,24 +296,24 @@
 // using a path on which datagrams are dropped without an error.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	ca := devCA(t, "a")
-	b, rb := listen(t, ca, "entry-2", nil)
-	proxy := newRelay(t, b.Addr())
-	a, ra := listen(t, ca, "entry-1", func(c *Config) {
+	b, bEvents := listen(t, ca, "entry-2", nil)
+	proxy := newUDPProxy(t, b.Addr())
+	a, aEvents := listen(t, ca, "entry-1", func(c *Config) {
 		c.Heartbeat, c.DeadAfter = 50*time.Millisecond, time.Second
 	})
 	a.SetPeers(peerAt("entry-2", proxy.frontSocket.LocalAddr().String()))
-	<-ra.up
+	<-aEvents.up
 	require.True(t, a.Send("entry-2", []byte("before")))
-	require.Equal(t, "before", string((<-rb.messages).payload))
+	require.Equal(t, "before", string((<-bEvents.messages).payload))
 
 	proxy.blockExisting()
 	require.True(t, a.Send("entry-2", []byte("lost")))
-	<-ra.down
-	<-ra.up
+	<-aEvents.down
+	<-aEvents.up
 	for !a.Send("entry-2", []byte("after")) {
-		<-ra.up
+		<-aEvents.up
 	}
-	require.Equal(t, "after", string((<-rb.messages).payload))
+	require.Equal(t, "after", string((<-bEvents.messages).payload))
 	require.Positive(t, a.stats.heartbeatTimeouts.Count())
 }
 
@@ -339,7 +339,7 @@
 
 func TestNewerConnectionReplacesOlder(t *testing.T) {
 	ca := devCA(t, "a")
-	b, rb := listen(t, ca, "entry-2", nil)
+	b, bEvents := listen(t, ca, "entry-2", nil)
 	older, olderEvents := listen(t, ca, "entry-1", nil)
 	older.SetPeers(peerAt("entry-2", b.Addr()))
 	<-olderEvents.up
@@ -351,7 +351,7 @@
 	for {
 		newer.Send("entry-2", []byte("x"))
 		select {
-		case m := <-rb.messages:
+		case m := <-bEvents.messages:
 			require.Equal(t, model.Incarnation(8), m.inc)
 			return
 		case <-newerEvents.up:
