--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -117,7 +117,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	i.node.Drain(ctx)
 	<-readinessTimer.C
-	i.node.Drain(ctx)
+	i.node.Drain(ctx) // finishes requests accepted since the first drain
 	cancel()
 	ctx, cancel = context.WithTimeout(context.Background(), httpCloseTimeout)
 	defer cancel()
--- a/internal/node/traffic.go
+++ b/internal/node/io.go
@@ -38,7 +38,7 @@
 	h.n.post(event.PeerDown{Peer: wire.Owner{Instance: id, Incarnation: inc}})
 }
 
-// readLog polls the log from its first entry on and posts each result, also an
+// readLog polls the log from its first entry on and posts each result, including an
 // empty one, to the core.
 func (n *Node) readLog() {
 	next := uint64(1)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,10 +47,10 @@
 	// startupListInterval, so that it connects to its peers early.
 	startupListInterval = 300 * time.Millisecond
 	startupListWindow   = 5 * time.Second
-	logReadWait         = time.Second
+	logReadWait         = time.Second // maximum time that a read waits in the log for an entry
 	maxReadEntries      = 512
 	logRetryDelay       = 200 * time.Millisecond
-	callTimeout         = 2 * time.Second
+	callTimeout         = 2 * time.Second // of a call to the platform or a worker, in addition to the wait that it requests
 )
 
 // Node is a running decision core with its connections to peers, the log, the
@@ -61,13 +61,13 @@
 	transport *transport.Transport
 	inbox     chan event.Event
 	appends   chan event.Append
-	started   time.Time
+	startedAt time.Time
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	handles        atomic.Uint64
+	lastHandle     atomic.Uint64
 	mu             sync.Mutex
 	callers        map[uint64]chan model.Answer
 	connectedPeers map[model.InstanceID]model.Incarnation
@@ -91,7 +91,7 @@
 		return nil, errors.Wrap(err, "assemble core")
 	}
 	n := &Node{
-		cfg: cfg, core: c, started: time.Now(),
+		cfg: cfg, core: c, startedAt: time.Now(),
 		inbox:          make(chan event.Event, inboxSize),
 		appends:        make(chan event.Append, inboxSize),
 		callers:        make(map[uint64]chan model.Answer),
@@ -152,7 +152,7 @@
 	}
 }
 
-func (n *Node) now() time.Duration { return time.Since(n.started) }
+func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
 // post hands an event to the core. It blocks while the inbox is full, which slows
 // down the reads from the network instead of dropping events.
@@ -215,6 +215,8 @@
 	}
 }
 
+// send queues a message for a peer. If it cannot be queued although there is a
+// connection, the core learns from a PeerDown that the message is lost.
 func (n *Node) send(a event.Send) {
 	payload, err := wire.EncodeMessage(a.Message)
 	if err != nil {
@@ -247,7 +249,7 @@
 // Do passes a caller's request to the core and returns the complete answer. When
 // ctx or the node ends first, the answer is in doubt: the request may have run.
 func (n *Node) Do(ctx context.Context, r model.Request) model.Answer {
-	handle := n.handles.Add(1)
+	handle := n.lastHandle.Add(1)
 	ch := make(chan model.Answer, 1)
 	n.mu.Lock()
 	n.callers[handle] = ch
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -17,8 +17,8 @@
 	WaitingCallers int // callers waiting for an answer
 	OpenRequests   int // requests coordinated here without a final answer
 	OwnedShards    int // shards owned by this instance
-	HeldWorkers    int // workers whose shards this instance owns
-	LeasedWorkers  int // leased workers whose state is known
+	HeldWorkers    int // workers whose shards this instance owns, with or without a lease
+	LeasedWorkers  int // workers whose lease this instance holds and whose state it knows completely
 	Free           model.Resources
 	ConfigVersion  uint64 // version of the configuration in force
 	AppliedOffset  uint64 // offset of the last log entry applied
@@ -27,12 +27,12 @@
 // probe reads a View from the core's services. It may only be used on the
 // goroutine that owns the core.
 type probe struct {
-	config   configProbe
-	owners   ownerProbe
-	ledger   ledgerProbe
-	open     interface{ Open() int }
-	requests interface{ OpenRequests() int }
-	handover interface{ Drained() bool }
+	config    configProbe
+	ownership ownershipProbe
+	ledger    ledgerProbe
+	gateway   interface{ Open() int }
+	requests  interface{ OpenRequests() int }
+	handover  interface{ Drained() bool }
 }
 
 type configProbe interface {
@@ -40,7 +40,7 @@
 	Version() uint64
 }
 
-type ownerProbe interface {
+type ownershipProbe interface {
 	ReachableShards() int
 	Owned() []wire.ShardTerm
 	Applied() uint64
@@ -56,7 +56,7 @@
 	if p.config, err = kernel.Find[configProbe](k, service.Config); err != nil {
 		return p, err
 	}
-	if p.owners, err = kernel.Find[ownerProbe](k, service.Ownership); err != nil {
+	if p.ownership, err = kernel.Find[ownershipProbe](k, service.Ownership); err != nil {
 		return p, err
 	}
 	if p.ledger, err = kernel.Find[ledgerProbe](k, service.Ledger); err != nil {
@@ -68,7 +68,7 @@
 	if p.handover, err = kernel.Find[interface{ Drained() bool }](k, service.Handover); err != nil {
 		return p, err
 	}
-	p.open, err = kernel.Find[interface{ Open() int }](k, service.Gateway)
+	p.gateway, err = kernel.Find[interface{ Open() int }](k, service.Gateway)
 	return p, err
 }
 
@@ -79,11 +79,11 @@
 		v.Ready, v.Reason = false, "draining"
 	case !p.config.Fresh():
 		v.Ready, v.Reason = false, "neither the log nor enough peers were heard lately"
-	case 2*p.owners.ReachableShards() < model.Shards:
+	case 2*p.ownership.ReachableShards() < model.Shards:
 		v.Ready, v.Reason = false, "most shards have no reachable owner"
 	}
-	v.WaitingCallers, v.OpenRequests = p.open.Open(), p.requests.OpenRequests()
-	v.OwnedShards, v.AppliedOffset = len(p.owners.Owned()), p.owners.Applied()
+	v.WaitingCallers, v.OpenRequests = p.gateway.Open(), p.requests.OpenRequests()
+	v.OwnedShards, v.AppliedOffset = len(p.ownership.Owned()), p.ownership.Applied()
 	v.HeldWorkers, v.LeasedWorkers, v.Free = len(p.ledger.HeldWorkers()), len(p.ledger.Coverage().Workers), p.ledger.Free()
 	v.ConfigVersion = p.config.Version()
 	v.Drained = v.WaitingCallers == 0 && v.OpenRequests == 0 && p.handover.Drained()
