--- a/internal/capacity/failures.go
+++ b/internal/capacity/failures.go
@@ -18,28 +18,28 @@
 var failureRows = []failureRow{
 	{"instances that fail, a day", func(m Model) string { return formatNumber(m.Size.FailuresPerDay) }},
 	{"instances that are replaced, a day", func(m Model) string { return formatNumber(m.Size.ReplacementsPerDay) }},
-	{"shards that move for one", func(m Model) string { return formatNumber(m.shardsPerInstance()) }},
-	{"workers that change hands", func(m Model) string { return formatNumber(m.workersPerInstance()) }},
+	{"shards that move when an instance fails", func(m Model) string { return formatNumber(m.shardsPerInstance()) }},
+	{"workers whose lease holder changes", func(m Model) string { return formatNumber(m.workersPerInstance()) }},
 	{"running tasks on them", func(m Model) string { return formatNumber(m.tasksPerInstance()) }},
-	{"silence until it counts as dead", func(m Model) string { return formatSeconds(m.Design.Periods.DeadAfter.Seconds()) }},
-	{"until its worker leases have lapsed", func(m Model) string { return formatSeconds(m.Design.Periods.WorkerLease.Seconds()) }},
-	{"entries of claims", func(m Model) string { return formatNumber(m.claimants()) }},
-	{"processor time of the fold on each instance", func(m Model) string { return formatMilliseconds(m.shardMoveSeconds()) }},
-	{"bytes of the workers' full reports, all together", func(m Model) string { return formatBytes(m.reportBytes()) }},
-	{"processor time of taking them, all together", func(m Model) string { return formatMilliseconds(m.takeoverSeconds()) }},
-	{"time in a day in which some shard has no living owner", func(m Model) string {
+	{"time without heartbeats until an instance counts as dead", func(m Model) string { return formatSeconds(m.Design.Periods.DeadAfter.Seconds()) }},
+	{"time until its worker leases have expired", func(m Model) string { return formatSeconds(m.Design.Periods.WorkerLease.Seconds()) }},
+	{"log entries with claims", func(m Model) string { return formatNumber(m.claimants()) }},
+	{"processor time of the shard moves on each instance", func(m Model) string { return formatMilliseconds(m.shardMoveSeconds()) }},
+	{"bytes of all full reports of the workers", func(m Model) string { return formatBytes(m.reportBytes()) }},
+	{"processor time of handling all full reports", func(m Model) string { return formatMilliseconds(m.takeoverSeconds()) }},
+	{"time in a day in which some shard has no live owner", func(m Model) string {
 		return formatSeconds(m.Size.FailuresPerDay * m.Design.Periods.DeadAfter.Seconds())
 	}},
-	{"memory that passes in one handover, of the 8 MiB that a message holds", formatHandover},
+	{"state sent in one handover message, of at most 8 MiB", formatHandover},
 	{"part of the instances lost with an availability zone", func(m Model) string { return formatPercent(1 / float64(m.Size.Zones)) }},
-	{"shards that move for a zone", func(m Model) string { return formatNumber(model.Shards / float64(m.Size.Zones)) }},
-	{"processor time of that fold on each instance", func(m Model) string {
+	{"shards that move when a zone fails", func(m Model) string { return formatNumber(model.Shards / float64(m.Size.Zones)) }},
+	{"processor time of these shard moves on each instance", func(m Model) string {
 		return formatMilliseconds(m.shardMoveSeconds() * m.instances() / float64(m.Size.Zones))
 	}},
-	{"tasks of a region that is cut off, held from the other side: stopped after the task lease", func(m Model) string {
+	{"tasks in a partitioned region whose lease holder is on the other side: stopped after the task lease", func(m Model) string {
 		return formatLostTasks(m.Size.RunningTasks / regions(m) * (1 - 1/regions(m)))
 	}},
-	{"lives that end in an hour without the log", func(m Model) string { return formatNumber(m.endedIncarnationsPerHour()) }},
+	{"incarnations of instances that end in an hour without the log", func(m Model) string { return formatNumber(m.endedIncarnationsPerHour()) }},
 	{"tasks on their workers: stopped after the task lease", func(m Model) string { return formatLostTasks(m.endedIncarnationsPerHour() * m.tasksPerInstance()) }},
 }
 
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -101,10 +101,10 @@
 	l := m.Slopes.Lines
 	open := m.Size.OpenCallers / m.instances()
 	return []Cost{{
-		Role: "taking callers", Item: "tick over open requests", Packages: "internal/service/gateway", Control: true,
+		Role: "gateway", Item: "tick work for open requests", Packages: "internal/service/gateway", Control: true,
 		Core: ticksPerSecond * open * l.TickByOpen.Slope() * nano,
 	}, {
-		Role: "taking callers", Item: "callers' exchanges", Packages: "internal/httpapi, internal/service/gateway",
+		Role: "gateway", Item: "callers' exchanges", Packages: "internal/httpapi, internal/service/gateway",
 		Messages: 2 * m.startsPerInstance(),
 		Bytes:    m.startsPerInstance() * exchangeBytes(l.CallerBytes.At(messagePayloadBytes)),
 		Core:     m.startsPerInstance() * l.CallerNS.At(messagePayloadBytes) * nano,
@@ -149,8 +149,8 @@
 	known := m.retainedJobs()
 	tasks := m.Size.StartsPerSecond * m.Design.Periods.Retention.Seconds()
 	c := Cost{
-		Role: "request shards", Item: "jobs accepted for later, folded", Packages: "internal/service/jobs", Control: true,
-		Remedy: "fold only the jobs of the shards that are owned here; ended tasks as ranges of indexes",
+		Role: "request shards", Item: "state of the jobs, applied from the log", Packages: "internal/service/jobs", Control: true,
+		Remedy: "apply only the jobs of the shards that the instance owns; store ended tasks as ranges of indexes",
 	}
 	if !m.Design.ReadsWholeLog {
 		known, tasks = known/m.instances(), tasks*endedTaskBytes/max(l.JobMemoryByTask.Slope(), 1)/m.instances()
@@ -213,7 +213,7 @@
 	idle := m.workersPerInstance() / m.Design.Periods.RenewWait.Seconds()
 	return []Cost{
 		{
-			Role: "worker holders", Item: "renewals of leases", Packages: "internal/service/ledger, internal/platform/httpclient", Control: true,
+			Role: "lease holders", Item: "renewals of leases", Packages: "internal/service/ledger, internal/platform/httpclient", Control: true,
 			Messages: 2 * idle,
 			Bytes:    idle * exchangeBytes(l.RenewalBytes.Intercept()),
 			Core:     idle * (l.ExchangeNS.Intercept() + l.RenewalTake.Intercept()) * nano,
@@ -221,17 +221,17 @@
 			Remedy:   "longer leases, with a wait of half of the lease; one renewal for the workers of a rack",
 		},
 		{
-			Role: "worker holders", Item: "tick over the held workers", Packages: "internal/service/ledger", Control: true,
+			Role: "lease holders", Item: "tick work for the workers under lease", Packages: "internal/service/ledger", Control: true,
 			Core:   ticksPerSecond * m.workersPerInstance() * l.TickByWorker.Slope() * nano * m.scanMultiplier(),
 			Remedy: "due times in a heap; free resources and coverage kept up to date",
 		},
 		{
-			Role: "worker holders", Item: "running tasks", Packages: "internal/service/ledger, requests", Control: true,
+			Role: "lease holders", Item: "running tasks", Packages: "internal/service/ledger, requests", Control: true,
 			Memory: m.Size.RunningTasks / m.instances() * l.RunningTaskMemory.Slope(),
 			Remedy: "keep a task's payload at the worker only",
 		},
 		{
-			Role: "worker holders", Item: "starts and outcomes", Packages: "internal/service/ledger, internal/platform/httpclient",
+			Role: "lease holders", Item: "starts and outcomes", Packages: "internal/service/ledger, internal/platform/httpclient",
 			Messages: 4 * m.startsPerInstance(),
 			Bytes:    m.startsPerInstance()*exchangeBytes(l.StartBytes.At(messagePayloadBytes)) + (renewals-idle)*exchangeBytes(l.RenewalBytes.At(1)),
 			Core:     m.startsPerInstance() * (2*l.ExchangeNS.At(1) + l.RenewalTake.At(1)) * nano,
@@ -260,12 +260,12 @@
 		Messages: 2 * rate, Bytes: 2 * rate * m.messageBytes(size),
 		Core:   rate * (encode + take + t.SendNS) * nano,
 		Memory: m.Design.Peers(m.Instances) * l.MemberMemoryByTeam.At(m.teams()),
-		Remedy: "probe a few members in turn and pass news on (SWIM) within a zone, one voice of each zone between zones; send only the team lines that changed",
+		Remedy: "probe a few members in turn and spread changes by gossip (SWIM) within a zone, one representative of each zone between zones; send only the team lines that changed",
 	}}
 	pings := Cost{
 		Role: "membership", Item: "connections and their pings", Packages: "internal/transport", Control: true,
 		Memory: m.Design.Peers(m.Instances) * t.ConnectionBytes,
-		Remedy: "no pings where heartbeats pass; connections to the members of the own zone, others on demand",
+		Remedy: "no pings on connections that carry heartbeats; permanent connections within the zone only, others on demand",
 	}
 	if m.Design.PingsBesideHeartbeats {
 		exchanges := 2 * rate
@@ -274,13 +274,13 @@
 		pings.Core = exchanges * t.SendNS * nano
 	}
 	return append(costs, pings, Cost{
-		Role: "membership", Item: "filling a heartbeat and weighing shares", Packages: "internal/service/membership, limits, requests", Control: true,
+		Role: "membership", Item: "filling a heartbeat and calculating fair shares", Packages: "internal/service/membership, limits, requests", Control: true,
 		Core:   l.HeartbeatFillByLine.At(m.shareLines()) / m.Design.Periods.Heartbeat.Seconds() * nano,
 		Remedy: "one pass over the members' lines for all teams, in place of one for each team",
 	}, Cost{
-		Role: "membership", Item: "tick over members and shards", Packages: "internal/service/membership, ownership", Control: true,
+		Role: "membership", Item: "tick work for members and shards", Packages: "internal/service/membership, ownership", Control: true,
 		Core:   ticksPerSecond * l.TickByInstance.At(members) * nano,
-		Remedy: "look for orphans only after a change of members or shards",
+		Remedy: "look for shards without an owner only after a change of members or shards",
 	})
 }
 
@@ -300,7 +300,7 @@
 		Bytes:    listingsPerSecond * exchangeBytes(l.LogReadBytes.Intercept()),
 		Core:     listingsPerSecond * l.ExchangeNS.Intercept() * nano,
 		Memory:   m.listedWorkers() * l.ListedWorkerMemory.Slope(),
-		Remedy:   "ask with the version that is known and read only the entries that changed since; each instance reads its own zone",
+		Remedy:   "send the last known version with the request and read only the entries that changed since; each instance reads its own zone",
 	}
 	if m.Design.ReadsWholeListing {
 		workers := float64(m.Size.Workers)
@@ -310,10 +310,10 @@
 	moves := m.shardMovesPerSecond() * m.Size.RunningTasks / m.instances() * l.MoveByTask.Slope() * nano * m.scanMultiplier()
 	memory := 2 * m.replacementsPerSecond() * 2 * m.shardsPerInstance() / m.instances() * m.handoverBytesPerShard()
 	return []Cost{list, {
-		Role: "ownership", Item: "folds of moved shards", Packages: "internal/service/ledger", Control: true,
+		Role: "ownership", Item: "reports of running tasks to the new owners of shards", Packages: "internal/service/ledger", Control: true,
 		Core: moves, Remedy: "an index of tasks by request shard, in place of the sort of all tasks for each moved shard",
 	}, {
-		Role: "ownership", Item: "memory handed over by replaced instances", Packages: "internal/service/handover", Control: true,
+		Role: "ownership", Item: "state handed over by replaced instances", Packages: "internal/service/handover", Control: true,
 		Bytes: memory, Remedy: "hand over no payloads of answered requests",
 	}}
 }
@@ -389,7 +389,7 @@
 // events, which is read only on demand.
 func (m Model) timelineCosts() []Cost {
 	return []Cost{{
-		Role: "time line", Item: "ring of the latest events", Packages: "internal/event", Control: true,
+		Role: "timeline", Item: "ring buffer of the latest events", Packages: "internal/event", Control: true,
 		Memory: maxTimelineEvents * m.Slopes.Lines.TimelineMemory.Slope(),
 	}}
 }
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -74,7 +74,7 @@
 }
 
 func rolesTable(m Model, withVerdicts bool) string {
-	heads := []string{"Role", "Line", "Carried by", "Counted as", "Messages/s", "Bytes/s", "Core", "Live memory"}
+	heads := []string{"Role", "Line", "Packages", "Counted as", "Messages/s", "Bytes/s", "Core", "Live memory"}
 	if withVerdicts {
 		heads = append(heads, "Verdict")
 	}
