--- a/internal/cell/engine/advising.go
+++ b/internal/cell/engine/advising.go
@@ -24,7 +24,7 @@
 }
 
 // ensureAdvice returns the advice about s and creates it on first use.
-func (s *stepRun) ensureAdvice() *adviceState {
+func (s *stepState) ensureAdvice() *adviceState {
 	if s.advice == nil {
 		s.advice = &adviceState{good: make(map[string]ticket), asked: make(map[string]int64)}
 	}
@@ -32,7 +32,7 @@
 }
 
 // markGood records that a worker is good for s.
-func (s *stepRun) markGood(worker string, t ticket) {
+func (s *stepState) markGood(worker string, t ticket) {
 	a := s.ensureAdvice()
 	if _, known := a.good[worker]; !known {
 		a.goodOrder = append(a.goodOrder, worker)
@@ -54,7 +54,7 @@
 }
 
 // ticket returns the ticket of s for a worker, or the zero ticket if none is needed.
-func (s *stepRun) ticket(worker string) ticket {
+func (s *stepState) ticket(worker string) ticket {
 	if s.advice == nil {
 		return ticket{}
 	}
@@ -62,7 +62,7 @@
 }
 
 // invalidateTicket makes the ticket of s for a worker count as expired.
-func (s *stepRun) invalidateTicket(worker string) {
+func (s *stepState) invalidateTicket(worker string) {
 	if s.advice == nil {
 		return
 	}
@@ -83,7 +83,7 @@
 }
 
 // workersWithTicket returns the usable workers for which s has a valid ticket.
-func (e *Engine) workersWithTicket(s *stepRun) []*worker {
+func (e *Engine) workersWithTicket(s *stepState) []*worker {
 	var out []*worker
 	for _, w := range e.goodWorkers(s) {
 		if e.ticketValidAt(s.advice.good[w.id], e.now) {
@@ -95,7 +95,7 @@
 
 // goodWorkers returns the usable workers that the adviser found good for s, in the order
 // of its answers.
-func (e *Engine) goodWorkers(s *stepRun) []*worker {
+func (e *Engine) goodWorkers(s *stepState) []*worker {
 	if s.advice == nil {
 		return nil
 	}
@@ -110,7 +110,7 @@
 }
 
 // advise calls the adviser about workers for s if that could help to place s.
-func (e *Engine) advise(s *stepRun, q *policy.Queue, round *placementRound) {
+func (e *Engine) advise(s *stepState, q *policy.Queue, round *placementRound) {
 	a := s.ensureAdvice()
 	if a.callsInFlight > 0 || e.now.Before(a.retryAt) {
 		return
@@ -138,7 +138,7 @@
 // callCount returns the number of concurrent calls to make about n workers for s. A gang
 // starts after the last answer, and the tickets of the first answer are valid for little
 // longer than a call takes, so a gang's calls are smaller.
-func callCount(s *stepRun, n int) int {
+func callCount(s *stepState, n int) int {
 	perCall := maxWorkersPerCall
 	if s.spec.Gang {
 		perCall = gangCallSize
@@ -157,8 +157,8 @@
 }
 
 // callAdviser has a delegate call the adviser about workers for s. It reports whether a
-// delegate could take the call.
-func (e *Engine) callAdviser(s *stepRun, q *policy.Queue, ask []*worker) bool {
+// delegate could take the call. cost is the expected duration of the call.
+func (e *Engine) callAdviser(s *stepState, q *policy.Queue, ask []*worker) bool {
 	cost := q.Advice.CallDuration(len(ask))
 	chosen := e.chooseDelegate(cost)
 	if chosen == nil {
@@ -176,7 +176,7 @@
 
 // workersToAsk returns the workers that the adviser should be asked about now: good ones
 // with free resources whose ticket has expired, or else ones it was not asked about yet.
-func (e *Engine) workersToAsk(s *stepRun, q *policy.Queue, round *placementRound) []*worker {
+func (e *Engine) workersToAsk(s *stepState, q *policy.Queue, round *placementRound) []*worker {
 	need := s.waiting
 	if validTasks, _, _ := e.ticketCapacity(s, e.now); validTasks >= need || !s.spec.Gang && validTasks > 0 {
 		return nil // tasks can start with these tickets; the others ask in a later round
@@ -203,7 +203,7 @@
 // ticketCapacity returns how many waiting tasks of s fit now on good workers whose
 // tickets are valid at the given time, and on the good workers with expired tickets. It
 // also returns those of the latter that a task fits on.
-func (e *Engine) ticketCapacity(s *stepRun, at time.Time) (validTasks, expiredTasks int, expiredWorkers []*worker) {
+func (e *Engine) ticketCapacity(s *stepState, at time.Time) (validTasks, expiredTasks int, expiredWorkers []*worker) {
 	for _, w := range e.goodWorkers(s) {
 		n := tasksThatFit(s, w, w.free())
 		switch {
@@ -219,7 +219,7 @@
 }
 
 // tasksThatFit returns how many waiting tasks of s fit into the resources free of w.
-func tasksThatFit(s *stepRun, w *worker, free job.Resources) int {
+func tasksThatFit(s *stepState, w *worker, free job.Resources) int {
 	n := s.charge.CountIn(free, s.waiting)
 	if s.spec.MaxPerWorker > 0 {
 		n = min(n, s.spec.MaxPerWorker-s.tasksOn(w))
@@ -228,8 +228,9 @@
 }
 
 // largestFirst returns enough of workers to hold need tasks, those that hold the most
-// tasks first, and spareRenewedTickets more.
-func largestFirst(s *stepRun, workers []*worker, need int) []*worker {
+// tasks first, and spareRenewedTickets more. It returns at most as many workers as
+// maxCalls calls accept.
+func largestFirst(s *stepState, workers []*worker, need int) []*worker {
 	sort.SliceStable(workers, func(i, j int) bool {
 		return tasksThatFit(s, workers[i], workers[i].free()) > tasksThatFit(s, workers[j], workers[j].free())
 	})
@@ -263,9 +264,10 @@
 )
 
 // rankForAdvice returns the workers with the most available capacity, as many as are
-// expected to include enough good ones. Steps that cannot wait for an answer later also
-// ask about workers whose capacity is in use.
-func (e *Engine) rankForAdvice(s *stepRun, q *policy.Queue, unasked []*worker) []*worker {
+// expected to include enough good ones. Gangs, steps of the highest priority and steps
+// whose calls to the adviser are long ask in advance: for them, workers whose capacity is
+// in use count too.
+func (e *Engine) rankForAdvice(s *stepState, q *policy.Queue, unasked []*worker) []*worker {
 	ahead := s.spec.Gang || q.Priority == 0 || q.Advice.Base >= advice.LongCallThreshold
 	score := make(map[*worker]float64, len(unasked))
 	ranked := unasked[:0]
@@ -302,7 +304,8 @@
 // first answer.
 const initialGoodShare = 0.4
 
-// goodShare returns the expected share of good workers for a queue.
+// goodShare returns the expected share of good workers for a queue, at least 0.05. A share
+// of zero would make every call as large as possible.
 func (e *Engine) goodShare(queue string) float64 {
 	if share, ok := e.goodShares[queue]; ok {
 		return max(0.05, share)
@@ -310,8 +313,8 @@
 	return initialGoodShare
 }
 
-// chooseDelegate returns the delegate for a call of the given cost, or nil if none can
-// take it.
+// chooseDelegate returns the delegate for a call with the given expected duration, or nil
+// if none can take it.
 func (e *Engine) chooseDelegate(cost time.Duration) *delegate {
 	loads := make([]*advice.Delegate, len(e.delegates))
 	for i, d := range e.delegates {
@@ -342,25 +345,25 @@
 		e.log.Warn("adviser call failed", "step", s.name, "job", s.ref.Job, "arm", ev.Call.Delegate, "workers", len(ev.Call.Workers), "after_ms", e.msSince(ev.Call.sentAt))
 		return
 	}
-	unasked := 0
+	newlyAsked := 0 // workers that no earlier answer covers
 	for _, id := range ev.Call.Workers {
 		w := e.workers[id]
 		if w == nil {
 			continue
 		}
 		if s.advice.asked[id] != w.incarnation {
-			unasked++
+			newlyAsked++
 		}
 		s.advice.asked[id] = w.incarnation
 		if t, good := ev.Good[id]; good {
 			s.markGood(id, ticket{value: t, incarnation: w.incarnation, validUntil: e.now.Add(ev.TTL)})
 		}
 	}
-	if unasked > 0 && s.waiting > 0 && ev.Call.Cost >= advice.LongCallThreshold {
-		e.markDirty(s) // spares the next leader a repeat of this call
+	if newlyAsked > 0 && s.waiting > 0 && ev.Call.Cost >= advice.LongCallThreshold {
+		e.markDirty(s) // stores the answer, so that the next leader need not repeat a long call
 	}
-	if unasked == len(ev.Call.Workers) && unasked > 0 {
-		e.updateGoodShare(s.job().queue, float64(len(ev.Good))/float64(unasked))
+	if newlyAsked == len(ev.Call.Workers) && newlyAsked > 0 {
+		e.updateGoodShare(s.job().queue, float64(len(ev.Good))/float64(newlyAsked))
 	}
 	e.log.Debug("adviser call done", "step", s.name, "arm", ev.Call.Delegate, "asked", len(ev.Call.Workers), "good", len(ev.Good), "after_ms", e.msSince(ev.Call.sentAt))
 }
--- a/internal/cell/engine/backlog.go
+++ b/internal/cell/engine/backlog.go
@@ -69,7 +69,7 @@
 }
 
 // workOf returns the expected core-seconds of one task of s.
-func (e *Engine) workOf(s *stepRun) float64 {
+func (e *Engine) workOf(s *stepState) float64 {
 	return float64(s.charge.CPU) / 1000 * e.estimator.expect(s.job().queue, s.spec.Estimate).Seconds()
 }
 
@@ -103,7 +103,8 @@
 	}
 }
 
-// loadFor returns the present load for a job of q that starts with tasks of first.
+// loadFor returns the present load for a job of q. first is the widest of the steps
+// that the job starts with.
 //
 // Load.BackfillCores is the capacity that these tasks fit into now and that would
 // stay unused without them. Steps that a placement round tried and left waiting
@@ -145,7 +146,7 @@
 // widest returns the step with the highest total CPU among the steps of a job that
 // depend on no other.
 func widest(spec *job.Spec) *job.Step {
-	best := &spec.Steps[0] // steps depend only on earlier ones
+	best := &spec.Steps[0] // depends on no other, as steps depend only on earlier ones
 	for i := range spec.Steps {
 		s := &spec.Steps[i]
 		if len(s.DependsOn) == 0 && s.Charge().CPU*int64(s.Count) > best.Charge().CPU*int64(best.Count) {
@@ -184,5 +185,5 @@
 		d := e.demands[priority]
 		attrs = append(attrs, fmt.Sprintf("waiting_cpu_%d", priority), d.waitingCPU, fmt.Sprintf("arriving_cores_%d", priority), int(d.rate(e.now)))
 	}
-	e.log.Info("load", attrs...)
+	e.log.Info("load of the cell", attrs...)
 }
--- a/internal/cell/engine/commands.go
+++ b/internal/cell/engine/commands.go
@@ -20,7 +20,8 @@
 	e.afterAppend(func() { e.sendStart(r) })
 }
 
-// reserve counts r against its worker and its team.
+// reserve adds the charge of r to the resources used on its worker, and the need of its
+// task to the usage of its team.
 func (e *Engine) reserve(r *run) {
 	r.worker.runs[r] = struct{}{}
 	r.worker.used = r.worker.used.Add(r.charge)
@@ -49,7 +50,7 @@
 	}
 	r.phase = starting
 	r.startSent, r.startSentAt = true, e.now
-	w.nextRenewal = e.now // an idle worker is renewed rarely
+	w.nextRenewal = e.now // the next renewal of an idle worker may be IdleRenewalInterval away
 	e.emitStart(r, firstStartTimeout)
 }
 
@@ -60,8 +61,8 @@
 	firstStartTimeout = 250 * time.Millisecond
 	// secondStartTimeout is the timeout of the second start command for a run.
 	secondStartTimeout = 700 * time.Millisecond
-	// stopTimeout is the timeout of a stop command. It is sent again until it is
-	// confirmed.
+	// stopTimeout is the timeout of a stop command. The command is sent again until the
+	// worker accepts it.
 	stopTimeout = 300 * time.Millisecond
 )
 
@@ -154,7 +155,7 @@
 }
 
 // stopRun requests the end of a run for the given reason. The run keeps its worker's
-// resources until its end is confirmed.
+// resources until the worker's reports show its end or its lease has expired.
 func (e *Engine) stopRun(r *run, why string) {
 	if r.ended || r.phase == stopping {
 		return
@@ -189,7 +190,7 @@
 	}
 	w := r.worker
 	switch ev.Refusal {
-	case Accepted, StaleRun: // after a newer run, the worker does not have this one either
+	case Accepted, StaleRun: // StaleRun: this run or a newer one has ended, so the worker no longer has this one
 		if r.stopConfirmedAt.IsZero() {
 			r.stopConfirmedAt = e.now
 		}
@@ -204,7 +205,8 @@
 	}
 }
 
-// retryStops repeats the stop commands that got no answer for longer than StopRetryDelay.
+// retryStops repeats each stop command that the worker has not accepted StopRetryDelay
+// after it was sent. The runs are checked at most eight times per StopRetryDelay.
 func (e *Engine) retryStops() {
 	if e.now.Sub(e.stopsRetriedAt) < e.cfg.StopRetryDelay/8 {
 		return
--- a/internal/cell/engine/critical_path.go
+++ b/internal/cell/engine/critical_path.go
@@ -10,7 +10,7 @@
 
 // arrivalOf returns when the occurrence of s was due, or when its job arrived if the job
 // has no schedule.
-func (e *Engine) arrivalOf(s *stepRun) time.Time {
+func (e *Engine) arrivalOf(s *stepState) time.Time {
 	if s.occ.due == 0 {
 		return s.job().arrivedAt
 	}
@@ -26,7 +26,7 @@
 func (e *Engine) criticalPath(j *jobState) time.Duration { return slices.Max(e.criticalPaths(j)) }
 
 // criticalPathFrom returns the length of the critical path from s to the end of its job.
-func (e *Engine) criticalPathFrom(s *stepRun) time.Duration {
+func (e *Engine) criticalPathFrom(s *stepState) time.Duration {
 	return e.criticalPaths(s.job())[s.ref.Step]
 }
 
--- a/internal/cell/engine/ends.go
+++ b/internal/cell/engine/ends.go
@@ -4,7 +4,8 @@
 	"pollenbend/internal/cell/record"
 )
 
-// taskDone records that t has succeeded. With one member of a gang, all of them have.
+// taskDone records that t has succeeded. If t belongs to a gang, all of its members have
+// succeeded then.
 func (e *Engine) taskDone(t *task) {
 	s := t.step
 	if t.done || s.spec.LongRunning {
@@ -37,7 +38,7 @@
 }
 
 // stepDone records that all tasks of s are done.
-func (e *Engine) stepDone(s *stepRun) {
+func (e *Engine) stepDone(s *stepState) {
 	o := s.occ
 	o.remaining--
 	e.log.Debug("step done", "step", s.name, "since_ready_ms", e.msSince(s.readyAt))
@@ -115,7 +116,7 @@
 }
 
 // reopen adds s to the open steps again.
-func (e *Engine) reopen(s *stepRun) {
+func (e *Engine) reopen(s *stepState) {
 	if !s.ready || s.job().state.Final() {
 		return
 	}
@@ -153,7 +154,7 @@
 }
 
 // stopGangRun stops the remaining members of a gang's run after one member ended early.
-func (e *Engine) stopGangRun(s *stepRun, number int) {
+func (e *Engine) stopGangRun(s *stepState, number int) {
 	for _, m := range s.tasks {
 		for _, r := range m.runs {
 			if r.number == number && r.phase != stopping {
--- a/internal/cell/engine/engine.go
+++ b/internal/cell/engine/engine.go
@@ -17,12 +17,12 @@
 // Config holds the limits and intervals that the platform and the settings define.
 type Config struct {
 	Term                    int64            // number of this leader's term, higher than all earlier ones
-	Lease                   time.Duration    // how long runs continue without contact to the leader
+	Lease                   time.Duration    // how long runs continue without contact with the leader
 	MaxLease                time.Duration    // maximum lease that workers grant
 	LeaseExpiryMargin       time.Duration    // time after the end of a lease until its runs count as ended
 	MaxStopDuration         time.Duration    // maximum time that a stop takes
 	GangStartTimeout        time.Duration    // maximum time that members of a gang wait for each other
-	OffRackMultiplier       float64          // how many times as long a task takes far from its data
+	OffRackMultiplier       float64          // runtime of a task outside its preferred rack relative to that inside
 	RenewalMaxWait          time.Duration    // maximum time that a worker may delay its answer to a renewal
 	RenewalRetryDelay       time.Duration    // delay after a renewal without an answer
 	IdleRenewalInterval     time.Duration    // interval between renewals of an idle worker
@@ -36,7 +36,8 @@
 }
 
 // maxPlacementInterval is the maximum interval between placement rounds while steps
-// wait. Tickets expire and retry delays end without an event.
+// wait. Rounds have to run without an event too, as none occurs when a ticket expires or
+// a retry delay ends.
 const maxPlacementInterval = 40 * time.Millisecond
 
 // placementPauseMultiplier is the minimum interval between the starts of placement
@@ -57,14 +58,14 @@
 	actions     []any
 
 	jobs            map[string]*jobState
-	openSteps       []*stepRun  // ready steps that have tasks to place
-	scheduledJobs   []*jobState // jobs with a schedule
-	endedJobs       []*jobState // ordered by the time at which they ended
+	openSteps       []*stepState // ready steps that have tasks to place
+	scheduledJobs   []*jobState  // jobs with a schedule
+	endedJobs       []*jobState  // ordered by the time at which they ended
 	workers         map[string]*worker
 	workerList      []*worker                // in the order in which they were found
-	unknownRunStops map[string]time.Time     // when an unknown run was last stopped, by task
+	unknownRunStops map[string]time.Time     // when a stop was last sent for an unknown run, by task
 	usage           map[string]job.Resources // by team
-	queued          map[string]int           // accepted jobs that have not started, by queue
+	queued          map[string]int           // jobs without a schedule that have not started, by queue
 	delegates       []*delegate
 	estimator       runtimeEstimator
 	entitlements    map[string]*tokenBucket // by team
@@ -80,13 +81,13 @@
 	loadLoggedAt     time.Time     // when logLoad last logged the load
 	batch            *Append
 	appendInFlight   bool
-	stopsRetriedAt   time.Time             // when retryStops last ran
-	storeLatency     time.Duration         // smoothed duration of an append
-	appendSentAt     time.Time             // when the append in flight was sent
-	storeDownSince   time.Time             // since when the store refuses appends; zero if it accepts them
-	appendRetryAt    time.Time             // when the next append may be sent
-	dirtySteps       map[*stepRun]struct{} // steps whose records the next append writes
-	dirtyStepList    []*stepRun            // the same in the order in which they were marked
+	stopsRetriedAt   time.Time               // when retryStops last ran
+	storeLatency     time.Duration           // smoothed duration of an append
+	appendSentAt     time.Time               // when the last append was sent
+	storeDownSince   time.Time               // since when the store refuses appends; zero if it accepts them
+	appendRetryAt    time.Time               // when the next append may be sent
+	dirtySteps       map[*stepState]struct{} // steps whose records the next append writes
+	dirtyStepList    []*stepState            // the same in the order in which they were marked
 }
 
 // New returns an engine without jobs or workers. wall returns the wall clock time in
@@ -99,7 +100,7 @@
 		unknownRunStops: make(map[string]time.Time), usage: make(map[string]job.Resources),
 		queued: make(map[string]int), entitlements: make(map[string]*tokenBucket),
 		demands: make(map[int]*demand),
-		batch:   &Append{}, dirtySteps: make(map[*stepRun]struct{}),
+		batch:   &Append{}, dirtySteps: make(map[*stepState]struct{}),
 	}
 }
 
@@ -156,9 +157,9 @@
 		if e.needsPlacement && now.Sub(e.placedAt) >= max(e.cfg.MinPlacementInterval, placementPauseMultiplier*e.placementTook) {
 			e.needsPlacement = false
 			e.placedAt = now
-			begun := e.cfg.Now()
+			start := e.cfg.Now()
 			e.place()
-			e.placementTook = e.cfg.Now().Sub(begun)
+			e.placementTook = e.cfg.Now().Sub(start)
 		}
 		e.sendRenewals()
 		e.refuseUnstoredJobs()
@@ -212,7 +213,7 @@
 	if p.Version <= e.policy.Version {
 		return
 	}
-	e.log.Info("declarations applied", "version", p.Version, "before", e.policy.Version, "queues", len(p.Queues), "teams", len(p.Teams))
+	e.log.Info("policy applied", "version", p.Version, "before", e.policy.Version, "queues", len(p.Queues), "teams", len(p.Teams))
 	e.policy = p
 	e.needsPlacement = true
 }
--- a/internal/cell/engine/gangs_test.go
+++ b/internal/cell/engine/gangs_test.go
@@ -61,11 +61,11 @@
 	w.submit("plain", "a", tasks(350, 20000, time.Minute))
 	w.run(500 * time.Millisecond)
 	var gangs []string
-	for begun := w.now; w.now.Sub(begun) < 12*time.Second; w.run(50 * time.Millisecond) {
+	for start := w.now; w.now.Sub(start) < 12*time.Second; w.run(50 * time.Millisecond) {
 		for range 4 {
 			w.submit("urgent", "a", tasks(3, 5000, 800*time.Millisecond))
 		}
-		if len(gangs) < 4 && w.now.Sub(begun) > time.Duration(len(gangs)+1)*time.Second {
+		if len(gangs) < 4 && w.now.Sub(start) > time.Duration(len(gangs)+1)*time.Second {
 			gangs = append(gangs, w.submit("gangs", "a", gang(36, 11000, time.Second)))
 		}
 	}
@@ -110,12 +110,12 @@
 	}
 	e.actions = nil
 	e.advise(s, w.policy.Queue("batch"), e.newRound("s"))
-	asks := 0
+	callsMade := 0
 	for _, action := range e.actions {
 		if a, ok := action.(*AdviceCall); ok {
-			asks++
+			callsMade++
 			assert.LessOrEqual(t, len(a.Workers), maxWorkersPerCall)
 		}
 	}
-	assert.Equal(t, 2, asks)
+	assert.Equal(t, 2, callsMade)
 }
--- a/internal/cell/engine/health.go
+++ b/internal/cell/engine/health.go
@@ -5,15 +5,15 @@
 // health tracks the outcomes of a worker's runs. It detects workers that report
 // themselves as healthy but whose runs fail or stall.
 type health struct {
-	failures         int // consecutive failed runs
+	failures         int // consecutive failed runs, and starts without an answer
 	quarantinedUntil time.Time
 	quarantineTime   time.Duration
 	stalls           int // consecutive stalled runs
 }
 
 const (
-	// failuresToQuarantine is the number of consecutive failed runs of different tasks
-	// after which a worker is quarantined. On healthy workers one run in twenty fails.
+	// failuresToQuarantine is the number of consecutive failures after which a worker is
+	// quarantined. On healthy workers one run in twenty fails.
 	failuresToQuarantine = 3
 	initialQuarantine    = 2 * time.Second
 	maxQuarantine        = 8 * time.Second
--- a/internal/cell/engine/jobs.go
+++ b/internal/cell/engine/jobs.go
@@ -102,7 +102,7 @@
 }
 
 // dependenciesDone reports whether all steps that s depends on are done.
-func (o *occurrence) dependenciesDone(s *stepRun) bool {
+func (o *occurrence) dependenciesDone(s *stepState) bool {
 	for _, d := range s.spec.DependsOn {
 		if o.steps[d].remaining > 0 {
 			return false
@@ -189,7 +189,7 @@
 	j.endedAt = e.wall()
 	e.markStarted(j)
 	e.put(record.JobKey(j.id), record.Encode(j.record()))
-	j.eachStep(func(s *stepRun) {
+	j.eachStep(func(s *stepState) {
 		for _, t := range s.tasks {
 			for _, r := range t.runs {
 				if !t.done || !s.spec.Gang {
@@ -218,7 +218,7 @@
 }
 
 // eachStep calls f for every step of the occurrences created so far.
-func (j *jobState) eachStep(f func(*stepRun)) {
+func (j *jobState) eachStep(f func(*stepState)) {
 	for _, o := range j.occurrences {
 		if o == nil {
 			continue
@@ -232,7 +232,7 @@
 // hasRuns reports whether a task of j has a run.
 func (j *jobState) hasRuns() bool {
 	found := false
-	j.eachStep(func(s *stepRun) {
+	j.eachStep(func(s *stepState) {
 		for _, t := range s.tasks {
 			found = found || t.hasRuns()
 		}
@@ -247,7 +247,7 @@
 		return
 	}
 	j.compacted = true
-	j.eachStep(func(s *stepRun) {
+	j.eachStep(func(s *stepState) {
 		if s.mayBeStored() {
 			e.put(record.StepKey(s.ref), nil)
 		}
@@ -256,7 +256,7 @@
 }
 
 // mayBeStored reports whether the store may hold a record of s.
-func (s *stepRun) mayBeStored() bool {
+func (s *stepState) mayBeStored() bool {
 	if s.advice != nil {
 		return true // the adviser's answers are stored before a task starts
 	}
@@ -269,7 +269,7 @@
 }
 
 // dropExpiredJobs drops jobs that ended more than EndedJobRetention ago, from the
-// store as well, and forgets old stop commands for unknown runs.
+// store as well, and the times of stop commands for unknown runs after a minute.
 func (e *Engine) dropExpiredJobs() {
 	n := 0
 	wall := e.wall()
--- a/internal/cell/engine/reports.go
+++ b/internal/cell/engine/reports.go
@@ -9,14 +9,14 @@
 // applyEnds applies the finished runs that a worker reports.
 func (e *Engine) applyEnds(w *worker, rep *Report) {
 	last := w.appliedCursor
-	found := false
+	hasNew := false // the report contains ends that have not been applied
 	for i := range rep.Ended {
 		end := &rep.Ended[i]
 		if end.Number <= w.appliedCursor {
 			continue
 		}
 		last = max(last, end.Number)
-		found = true
+		hasNew = true
 		ref, err := job.ParseTask(end.Task)
 		if err != nil {
 			e.log.Warn("worker reported the end of an unknown task", "worker", w.id, "task", end.Task, "reason", err.Error())
@@ -24,7 +24,7 @@
 		}
 		e.applyEnd(w, ref, end)
 	}
-	if !found {
+	if !hasNew {
 		return
 	}
 	w.appliedCursor = last
--- a/internal/cell/engine/restore.go
+++ b/internal/cell/engine/restore.go
@@ -80,7 +80,7 @@
 func (e *Engine) restoreEnded(j *jobState, rec *record.Job) {
 	j.state, j.reportedState, j.endedAt, j.started = rec.State, rec.State, rec.Ended, true
 	e.endedJobs = append(e.endedJobs, j)
-	j.eachStep(func(s *stepRun) {
+	j.eachStep(func(s *stepState) {
 		for _, t := range s.tasks {
 			for _, r := range t.runs {
 				e.stopRun(r, "job has ended")
@@ -91,7 +91,7 @@
 }
 
 // restoreStep applies the record of a step.
-func (e *Engine) restoreStep(s *stepRun, rec *record.Step) {
+func (e *Engine) restoreStep(s *stepState, rec *record.Step) {
 	for i := range min(len(s.tasks), len(rec.Tasks)) {
 		t, stored := s.tasks[i], &rec.Tasks[i]
 		t.lastRun, t.failures, t.checkpoint = stored.Run, stored.Failures, stored.Checkpoint
@@ -120,7 +120,7 @@
 
 // restoreAdvice restores the adviser's answers to earlier leaders, without the tickets,
 // which are not stored.
-func (e *Engine) restoreAdvice(s *stepRun, rec *record.Step) {
+func (e *Engine) restoreAdvice(s *stepState, rec *record.Step) {
 	if len(rec.Asked) == 0 {
 		return
 	}
--- a/internal/cell/engine/round.go
+++ b/internal/cell/engine/round.go
@@ -10,9 +10,9 @@
 type placementRound struct {
 	workers           []*worker
 	maxFree           job.Resources // by resource, the largest free amount on one worker
-	cpuBudget         int64         // CPU of the steps that may still be tried in this round
-	holdBudget        int64         // CPU that may still be held for gangs
-	speculativeBudget int64         // CPU that may still be used for speculative runs
+	cpuBudget         int64         // CPU of the steps that may still be tried in this round, in thousandths of a core
+	holdBudget        int64         // CPU that may still be held for gangs, in thousandths of a core
+	speculativeBudget int64         // CPU that may still be used for speculative runs, in thousandths of a core
 }
 
 const (
@@ -51,7 +51,7 @@
 
 // holdForGang holds resources on workers that a waiting gang can use, so that they
 // accumulate for the gang instead of being taken by smaller tasks.
-func (e *Engine) holdForGang(s *stepRun, round *placementRound, count int) {
+func (e *Engine) holdForGang(s *stepState, round *placementRound, count int) {
 	if !s.spec.Gang || count < 2 || round.holdBudget <= 0 {
 		return
 	}
@@ -73,7 +73,7 @@
 
 // gangCandidates returns the workers on which a gang can wait for resources, those with
 // the most free CPU first.
-func (e *Engine) gangCandidates(s *stepRun, round *placementRound) []*worker {
+func (e *Engine) gangCandidates(s *stepState, round *placementRound) []*worker {
 	var workers []*worker
 	if s.advice == nil {
 		workers = s.eligible(round)
--- a/internal/cell/engine/schedule.go
+++ b/internal/cell/engine/schedule.go
@@ -42,7 +42,7 @@
 )
 
 // logWait logs why a step has been waiting for longer than waitLogDelay.
-func (e *Engine) logWait(s *stepRun, round *placementRound) {
+func (e *Engine) logWait(s *stepState, round *placementRound) {
 	if !s.open() || e.now.Sub(s.readyAt) < waitLogDelay || e.now.Sub(s.waitLoggedAt) < waitLogDelay || e.now.Sub(e.waitLoggedAt) < waitLogInterval {
 		return
 	}
@@ -66,7 +66,7 @@
 }
 
 // orderingStep returns the properties of s that determine its urgency.
-func (e *Engine) orderingStep(s *stepRun) ordering.Step {
+func (e *Engine) orderingStep(s *stepState) ordering.Step {
 	j := s.job()
 	o := ordering.Step{OverEntitlement: j.overEntitlement, Priority: lowestPriority, Arrived: e.arrivalOf(s), Remaining: e.criticalPathFrom(s)}
 	if q := e.queueOf(j); q != nil {
@@ -92,7 +92,7 @@
 const lowestPriority = 1 << 20
 
 // placeStep plans runs for as many waiting tasks of s as possible.
-func (e *Engine) placeStep(s *stepRun, q *policy.Queue, round *placementRound) {
+func (e *Engine) placeStep(s *stepState, q *policy.Queue, round *placementRound) {
 	tasks := s.waitingTasks()
 	if s.spec.Gang && len(tasks) < len(s.tasks) {
 		return // members of the last run are still being stopped
@@ -118,7 +118,7 @@
 }
 
 // request returns the placement request for count tasks of s.
-func (e *Engine) request(s *stepRun, count int) placement.Request {
+func (e *Engine) request(s *stepState, count int) placement.Request {
 	return placement.Request{
 		Need: s.charge, Count: count, AllOrNothing: s.spec.Gang, SameRack: s.spec.SameRack,
 		PreferredRack: s.spec.PreferredRack, OffRackMultiplier: e.cfg.OffRackMultiplier, MaxPerWorker: s.spec.MaxPerWorker,
@@ -126,7 +126,7 @@
 }
 
 // candidates returns the placement candidates for tasks of s, one per worker.
-func (e *Engine) candidates(s *stepRun, workers []*worker) []placement.Candidate {
+func (e *Engine) candidates(s *stepState, workers []*worker) []placement.Candidate {
 	out := make([]placement.Candidate, len(workers))
 	for i, w := range workers {
 		out[i] = placement.Candidate{Free: w.free(), Rack: w.rack, Slowness: w.health.slowness()}
@@ -138,7 +138,7 @@
 }
 
 // tasksOn returns how many runs of tasks of s are on w.
-func (s *stepRun) tasksOn(w *worker) int {
+func (s *stepState) tasksOn(w *worker) int {
 	n := 0
 	for r := range w.runs {
 		if r.task.step == s {
@@ -149,7 +149,7 @@
 }
 
 // waitingTasks returns the tasks of s that are neither done nor have a run.
-func (s *stepRun) waitingTasks() []*task {
+func (s *stepState) waitingTasks() []*task {
 	var waiting []*task
 	for _, t := range s.tasks {
 		if !t.done && !t.hasRuns() {
@@ -161,7 +161,7 @@
 
 // nextNumber returns the number of the next run of t. All members of a gang use the
 // same number.
-func (e *Engine) nextNumber(s *stepRun, t *task) int {
+func (e *Engine) nextNumber(s *stepState, t *task) int {
 	if s.spec.Gang {
 		number := s.lastGangRun
 		if t.lastRun == s.lastGangRun {
@@ -172,9 +172,9 @@
 	return t.lastRun + 1
 }
 
-// withinLimit returns the first of tasks that the team's limit allows to run now. For
-// a gang these are all of its tasks or none.
-func (e *Engine) withinLimit(s *stepRun, tasks []*task) []*task {
+// withinLimit returns the first tasks, as many as the team's limit allows to run now. For
+// a gang it returns all of them or none.
+func (e *Engine) withinLimit(s *stepState, tasks []*task) []*task {
 	team := e.policy.Team(s.job().team)
 	if team == nil {
 		return tasks
@@ -192,7 +192,7 @@
 
 // placeableWorkers returns the workers that tasks of s may be sent to now, whatever
 // their free resources.
-func (e *Engine) placeableWorkers(s *stepRun, q *policy.Queue, round *placementRound) []*worker {
+func (e *Engine) placeableWorkers(s *stepState, q *policy.Queue, round *placementRound) []*worker {
 	if q.Advice != nil {
 		return e.workersWithTicket(s)
 	}
@@ -201,7 +201,7 @@
 
 // eligible returns the usable workers that could hold a task of s, whatever their
 // free resources.
-func (s *stepRun) eligible(round *placementRound) []*worker {
+func (s *stepState) eligible(round *placementRound) []*worker {
 	out := make([]*worker, 0, len(round.workers))
 	for _, w := range round.workers {
 		if w.canHold(s.spec) {
--- a/internal/cell/engine/state.go
+++ b/internal/cell/engine/state.go
@@ -26,8 +26,8 @@
 	overEntitlement bool         // exceeded its team's entitlement when it was submitted
 	pendingReplies  []func(Answer)
 	occurrences     []*occurrence
-	remaining       int // occurrences that are not done
-	arrivedAt       time.Time
+	remaining       int             // occurrences that are not done
+	arrivedAt       time.Time       // when it was submitted; for a restored job, when it was accepted
 	criticalPaths   []time.Duration // by step; see criticalPathsOf
 }
 
@@ -36,34 +36,34 @@
 	job       *jobState
 	index     int
 	due       int64 // Unix milliseconds, zero for a job without a schedule
-	steps     []*stepRun
+	steps     []*stepState
 	remaining int // steps that are not done
 
 	arrivalCounted bool // its work is counted in the arrival rate
 }
 
-// stepRun is a step of one occurrence.
-type stepRun struct {
+// stepState is the state of a step in one occurrence.
+type stepState struct {
 	occ            *occurrence
 	ref            job.StepRef
 	name           string
 	spec           *job.Step
 	tasks          []*task
-	remaining      int // tasks that are not done
-	waiting        int // tasks that are neither done nor have a run
-	ready          bool
+	remaining      int  // tasks that are not done
+	waiting        int  // tasks that are neither done nor have a run
+	ready          bool // the steps that it depends on are done
 	readyAt        time.Time
 	waitLoggedAt   time.Time // when logWait last logged it
 	placementTried bool      // a placement round has tried to place its tasks
 	lastGangRun    int       // highest run number of the gang
 	advice         *adviceState
-	charge         job.Resources
-	key            ordering.Key
+	charge         job.Resources // of one task, see job.Step.Charge
+	key            ordering.Key  // set by sortOpenSteps
 }
 
 // task is one task of a step.
 type task struct {
-	step         *stepRun
+	step         *stepState
 	ref          job.TaskRef
 	name         string
 	done         bool
@@ -100,8 +100,8 @@
 	stopReason      string
 	stopSentAt      time.Time
 	stopInFlight    bool      // a stop command has no answer yet
-	stopConfirmedAt time.Time // when the worker confirmed the stop
-	percent         int
+	stopConfirmedAt time.Time // when the worker accepted the stop command; the run may not have ended yet
+	percent         int       // progress in percent
 	progressAt      time.Time // when percent last rose
 	basePercent     int       // percent in the first report of the run
 	baseAt          time.Time // when that report arrived
@@ -111,10 +111,10 @@
 
 func (t *task) hasRuns() bool { return len(t.runs) > 0 }
 
-func (s *stepRun) job() *jobState { return s.occ.job }
+func (s *stepState) job() *jobState { return s.occ.job }
 
 // open reports whether tasks of s can be placed now.
-func (s *stepRun) open() bool { return s.ready && s.waiting > 0 && s.job().state == record.Open }
+func (s *stepState) open() bool { return s.ready && s.waiting > 0 && s.job().state == record.Open }
 
 func newJob(spec *job.Spec, accepted int64) *jobState {
 	j := &jobState{id: spec.ID, queue: spec.Queue, team: spec.Team, spec: spec, acceptedAt: accepted}
@@ -133,16 +133,16 @@
 		o.due = j.spec.Due(k)
 	}
 	for i := range j.spec.Steps {
-		o.steps = append(o.steps, newStepRun(o, i))
+		o.steps = append(o.steps, newStepState(o, i))
 	}
 	j.occurrences[k] = o
 	return o
 }
 
-func newStepRun(o *occurrence, index int) *stepRun {
+func newStepState(o *occurrence, index int) *stepState {
 	spec := &o.job.spec.Steps[index]
 	ref := job.StepRef{Job: o.job.id, Occurrence: o.index, Step: index}
-	s := &stepRun{occ: o, ref: ref, name: ref.String(), spec: spec, charge: spec.Charge()}
+	s := &stepState{occ: o, ref: ref, name: ref.String(), spec: spec, charge: spec.Charge()}
 	s.tasks = make([]*task, spec.Count)
 	for i := range s.tasks {
 		tr := job.TaskRef{StepRef: ref, Index: i}
@@ -154,7 +154,7 @@
 }
 
 // encode returns the encoded record of s.
-func (s *stepRun) encode() []byte {
+func (s *stepState) encode() []byte {
 	r := record.Step{Tasks: make([]record.Task, len(s.tasks))}
 	for i, t := range s.tasks {
 		out := record.Task{Done: t.done, Run: t.lastRun, Failures: t.failures, Checkpoint: t.checkpoint}
--- a/internal/cell/engine/storing.go
+++ b/internal/cell/engine/storing.go
@@ -33,7 +33,7 @@
 func (e *Engine) afterAppend(f func()) { e.batch.onStored = append(e.batch.onStored, f) }
 
 // markDirty has the record of s written with the next append.
-func (e *Engine) markDirty(s *stepRun) {
+func (e *Engine) markDirty(s *stepState) {
 	if _, marked := e.dirtySteps[s]; marked || s.job().compacted {
 		return
 	}
@@ -86,8 +86,8 @@
 	}
 }
 
-// appendRefused returns a batch that was certainly not stored to the next append. New
-// jobs in it are refused, as the store may stay unavailable.
+// appendRefused adds a batch that was certainly not stored to the next append. New jobs
+// in it are refused, as the store may stay unavailable.
 func (e *Engine) appendRefused(batch *Append) {
 	if e.storeDownSince.IsZero() {
 		e.storeDownSince = e.now
@@ -177,7 +177,7 @@
 	j.compacted = true
 	j.state = record.Canceled
 	delete(e.jobs, j.id)
-	j.eachStep(func(s *stepRun) {
+	j.eachStep(func(s *stepState) {
 		for _, t := range s.tasks {
 			for _, r := range slices.Clone(t.runs) {
 				e.endRun(r, EndedStopped, "", "job not stored")
--- a/internal/cell/engine/stragglers.go
+++ b/internal/cell/engine/stragglers.go
@@ -13,11 +13,11 @@
 const (
 	// runCheckInterval is the minimum interval between two checks for stragglers.
 	runCheckInterval = 100 * time.Millisecond
-	// minStallTime is the minimum time without progress that counts as a stall. It is
-	// longer than the interval between two reports of a busy worker.
+	// A run counts as stalled after minStallTime without progress or after stallRatio of
+	// its expected runtime, whichever is longer. minStallTime is longer than the interval
+	// between two reports of a busy worker.
 	minStallTime = 2500 * time.Millisecond
-	// stallRatio is that time as a part of the expected runtime of the run.
-	stallRatio = 0.25
+	stallRatio   = 0.25
 	// speculationMinRatio is the minimum ratio of the remaining time of a run to the
 	// expected runtime of a new run for a speculative run to be started.
 	speculationMinRatio = 1.6
@@ -76,7 +76,9 @@
 	if r.task.step.spec.Gang && r.percent == 0 && e.now.Sub(r.startSentAt) < e.cfg.GangStartTimeout+minStallTime {
 		return false // it may be waiting for the other members
 	}
-	// One percent of progress takes a hundredth of the runtime.
+	// The progress of a long run changes rarely, as one percent of it takes a hundredth of
+	// the runtime. A run whose worker has not answered since limit/2 after the last progress
+	// is not stopped, as its progress is not known.
 	limit := max(minStallTime, time.Duration(float64(e.expectedRuntime(r))*stallRatio))
 	return e.now.Sub(r.progressAt) > limit && r.worker.lastAnswer.After(r.progressAt.Add(limit/2))
 }
@@ -171,7 +173,7 @@
 			continue
 		}
 		round.speculativeBudget -= s.charge.CPU
-		e.log.Info("speculative run", "job", s.ref.Job, "task", r.task.name, "slow_worker", r.worker.id, "percent", r.percent, "worker", w.id)
+		e.log.Info("speculative run planned", "job", s.ref.Job, "task", r.task.name, "slow_worker", r.worker.id, "percent", r.percent, "worker", w.id)
 		e.planRun(r.task, w, r.task.lastRun+1, s.ticket(w.id))
 		return
 	}
--- a/internal/cell/engine/types.go
+++ b/internal/cell/engine/types.go
@@ -37,16 +37,16 @@
 
 var endReasonNames = [...]string{"unknown", "done", "failed", "stopped", "lapsed", "broken", "alone"}
 
-// String returns the name of h that logs use.
-func (h EndReason) String() string { return endReasonNames[h] }
+// String returns the name of r that logs use.
+func (r EndReason) String() string { return endReasonNames[r] }
 
 // RunStatus is a run that a worker reports as running.
 type RunStatus struct {
 	Task       string
 	Run        int
 	Checkpoint string
-	Percent    int   // progress
-	Usage      int64 // tail latency in ms of a serving task, CPU in use of any other task
+	Percent    int   // progress in percent
+	Usage      int64 // tail latency in ms of a serving task, CPU use of any other task
 }
 
 // RunEnd is a finished run that a worker reports.
@@ -66,13 +66,14 @@
 	Ended       []RunEnd
 }
 
-// Refusal is the reason why a worker did not carry out a command.
+// Refusal is the outcome of a command to a worker: Accepted, NoAnswer, or the reason why the
+// worker refused the command.
 type Refusal uint8
 
-// The refusals of a worker.
+// The outcomes of a command.
 const (
 	Accepted         Refusal = iota
-	NoAnswer                 // no answer: the command may be carried out, now or later
+	NoAnswer                 // no answer in time: the worker may carry out the command, now or later
 	Fenced                   // the worker has seen a newer leader
 	StaleRun                 // this run, or a newer one of the task, has ended on the worker
 	DeadlinePassed           // the deadline in the command had passed
@@ -120,7 +121,7 @@
 		Queue string
 		Reply func(Answer)
 	}
-	// PolicyChanged carries a new version of the declarations.
+	// PolicyChanged carries a new version of the policy.
 	PolicyChanged struct{ Policy *policy.Policy }
 	// WorkersListed carries the complete directory of workers.
 	WorkersListed struct{ Workers []WorkerInfo }
@@ -215,7 +216,7 @@
 		Step     string
 		Workers  []string
 		Cost     time.Duration // expected duration of the call
-		step     *stepRun
+		step     *stepState
 		sentAt   time.Time
 	}
 	// StepDown reports that another leader has taken over.
--- a/internal/cell/engine/workers.go
+++ b/internal/cell/engine/workers.go
@@ -95,7 +95,8 @@
 	return s.Charge().Fits(w.capacity) && (s.Label == "" || slices.Contains(w.labels, s.Label))
 }
 
-// rackOf returns the label that names a rack, or "".
+// rackOf returns the label that names a rack, or "". Such a label begins with "r" and
+// contains "-".
 func rackOf(labels []string) string {
 	for _, l := range labels {
 		if strings.HasPrefix(l, "r") && strings.Contains(l, "-") {
@@ -121,7 +122,7 @@
 			w = newWorker(l.ID)
 			e.workers[l.ID] = w
 			e.workerList = append(e.workerList, w)
-			e.log.Info("worker found", "worker", l.ID, "life", l.Incarnation, "service", l.Service, "zone", l.Zone)
+			e.log.Info("worker listed for the first time", "worker", l.ID, "life", l.Incarnation, "service", l.Service, "zone", l.Zone)
 		}
 		e.workerListed(w, l)
 	}
@@ -237,8 +238,8 @@
 }
 
 // renewalAnswerTimeout is the timeout of a renewal beyond the time that the worker may
-// delay its answer. A healthy worker answers within a few milliseconds, and the ends
-// in a lost answer stay unknown until the next renewal.
+// delay its answer. A healthy worker answers within a few milliseconds, and the finished
+// runs in a lost answer stay unknown until the next renewal.
 const renewalAnswerTimeout = 300 * time.Millisecond
 
 // unknownRunRenewalDelay is the delay before the next renewal of a worker that reported
@@ -307,7 +308,7 @@
 	w.missedRenewals++
 	w.nextRenewal = e.now.Add(e.cfg.RenewalRetryDelay)
 	if w.missedRenewals == 1 {
-		w.nextRenewal = e.now // the answer, and with it ends of runs, may have been lost
+		w.nextRenewal = e.now // a report of finished runs may have been lost
 		e.log.Warn("worker does not answer", "worker", w.id, "life", w.incarnation, "runs", len(w.runs), "last_answer_ms", e.msSince(w.lastAnswer))
 	}
 	if ev.OtherIncarnation && ev.Incarnation == w.incarnation && w.incarnation != 0 {
--- a/internal/cell/engine/world_test.go
+++ b/internal/cell/engine/world_test.go
@@ -109,17 +109,17 @@
 	id             string
 	incarnation    int64
 	capacity       job.Resources
-	fence          int64
+	fence          int64 // highest term of a leader that has reached the worker
 	leaseEnd       time.Time
 	runs           map[string]*simRun
-	ended          []RunEnd
+	ended          []RunEnd // not acknowledged yet
 	lastEnd        int64
 	endedRuns      map[string]int // highest run number that was stopped or has ended, by task
 	unreachable    bool
 	draining       bool
 	pendingAnswers []func()
-	slowdown       float64
-	expiredEnds    int64 // number of the last end that was listed when the lease had expired
+	slowdown       float64 // runtime of a run as a multiple of its estimate
+	expiredEnds    int64   // number of the last end that was listed when the lease had expired
 }
 
 type event struct {
@@ -336,8 +336,8 @@
 	}
 }
 
-// endGang ends the other members of a complete gang after one has ended: as done if it is
-// done, else as broken.
+// endGang ends the other members of a complete gang after one has ended: with EndedDone if
+// that one is done, else with EndedGangBroken.
 func (w *world) endGang(r *simRun, reason EndReason) {
 	delete(r.gang.members, r.task)
 	if reason != EndedDone {
