--- a/internal/scheduler/fleet/feasible.go
+++ b/internal/scheduler/fleet/feasible.go
@@ -2,7 +2,7 @@
 
 import "pollenbend/internal/model"
 
-// Feasibility counts the workers that could take a demand if they were empty.
+// Feasibility counts the workers that could take a demand if they ran no other tasks.
 // Workers that are leaving don't count.
 type Feasibility struct {
 	Workers     int // all workers of the fleet
@@ -27,8 +27,8 @@
 	return out
 }
 
-// addFeasible counts the workers of one class. With a residual selector it has to
-// check them one by one.
+// addFeasible counts the workers of one class. It has to check them one by one if the
+// selector has a label that isn't indexed.
 func (f *Fleet) addFeasible(out *Feasibility, s *Selection, c *WorkerClass, demand model.Resources) {
 	if !s.residual {
 		for capacity, workers := range c.capacities {
--- a/internal/scheduler/fleet/fleet.go
+++ b/internal/scheduler/fleet/fleet.go
@@ -29,9 +29,9 @@
 
 	classes    []*WorkerClass
 	classByKey map[string]*WorkerClass
-	labels     []string // names of the labels that tell classes apart
-	unindexed  []string // labels removed from the index: too many values
-	selections map[uint64]*Selection
+	labels     []string              // names of the indexed labels; the workers of a class have the same values of them
+	unindexed  []string              // labels removed from the index because of too many classes
+	selections map[uint64]*Selection // by hash of the selector
 	pool       cellPool
 
 	freed         freedWorkers
@@ -39,7 +39,7 @@
 	workersByRack map[string]int // number of workers
 	workersByZone map[string]int // number of workers
 	journal       []journalEntry
-	planning      bool
+	inTransaction bool
 	holds         map[model.TaskID]Hold
 }
 
@@ -123,7 +123,8 @@
 	return lost
 }
 
-// SetReasons adds or removes reasons that restrict new work on a worker.
+// SetReasons adds reasons that restrict new work on a worker, or removes them if on is
+// false.
 func (f *Fleet) SetReasons(id model.WorkerID, reason Reason, on bool) error {
 	n := f.byID[id]
 	if n == nil {
@@ -254,7 +255,8 @@
 	return a
 }
 
-// commit adds an allocation to its worker, the totals, the index and the open plan.
+// commit adds an allocation to its worker, the totals, the index and, during a
+// transaction, the journal.
 func (f *Fleet) commit(a *Allocation) {
 	n := a.Node
 	a.pos = len(n.allocs)
@@ -270,7 +272,7 @@
 	f.journalAllocation(a)
 }
 
-// release undoes commit, except for the entry of the open plan.
+// release undoes commit, except for the entry in the journal.
 func (f *Fleet) release(a *Allocation) {
 	n := a.Node
 	last := len(n.allocs) - 1
--- a/internal/scheduler/fleet/fleet_test.go
+++ b/internal/scheduler/fleet/fleet_test.go
@@ -42,9 +42,9 @@
 	{{Label: "rack", Op: model.OpExists}},
 }
 
-// checkLedger recomputes the sums that the fleet maintains and compares them. adopted says
+// checkTotals recomputes the sums that the fleet maintains and compares them. adopted says
 // that workers may be overcommitted.
-func checkLedger(t require.TestingT, f *Fleet, adopted bool) {
+func checkTotals(t require.TestingT, f *Fleet, adopted bool) {
 	var capacity, used model.Resources
 	count := 0
 	for _, n := range f.nodes {
@@ -80,9 +80,9 @@
 	return false
 }
 
-// TestLedgerAndIndex changes a fleet at random. After each step it compares the index with a
+// TestTotalsAndIndex changes a fleet at random. After each step it compares the index with a
 // full scan and the sums with recomputed ones.
-func TestLedgerAndIndex(t *testing.T) {
+func TestTotalsAndIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := New()
 		next := 0
@@ -127,7 +127,7 @@
 				require.Equal(t, before, f.Used())
 			},
 			"": func(t *rapid.T) {
-				checkLedger(t, f, adopted || shrunk)
+				checkTotals(t, f, adopted || shrunk)
 				selector := rapid.SampledFrom(selectors).Draw(t, "selector")
 				var s Search
 				s.Start(f, f.Select(selector), drawResources(t, "wanted", 3))
--- a/internal/scheduler/fleet/hold.go
+++ b/internal/scheduler/fleet/hold.go
@@ -14,7 +14,7 @@
 	Task    model.TaskID
 	Node    *Node
 	Demand  model.Resources
-	Expires time.Duration
+	Expires time.Duration // time on the caller's clock
 }
 
 // Hold reserves a task's demand on a worker and replaces an earlier hold of the task.
--- a/internal/scheduler/fleet/index.go
+++ b/internal/scheduler/fleet/index.go
@@ -7,16 +7,16 @@
 )
 
 // The index keeps the workers of each class in grids, one for each combination of
-// accelerator level and free slots. A grid has one row for each level of available
-// processors and one column for each level of available memory. Levels grow by a
-// quarter of an octave, so that the workers of a cell differ by less than a fifth in
-// each of the two dimensions.
+// accelerator level and free task slots. A grid has one row for each level of available
+// processors and one column for each level of available memory. There are four levels
+// for each doubling of the amount, so that the workers of a cell differ by less than a
+// fifth in each of the two dimensions, except in the first and the last level.
 const (
 	levelCount    = 64
-	cpuShift      = 3 // level 1 starts at 8 milli-CPU
-	memoryShift   = 6 // level 1 starts at 64 MiB
-	slotLevels    = 2 // no free slot; at least one
-	gridCount     = 5 * slotLevels
+	cpuShift      = 3              // level 1 starts at 8 milli-CPU
+	memoryShift   = 6              // level 1 starts at 64 MiB
+	slotLevels    = 2              // no free task slot; at least one
+	gridCount     = 5 * slotLevels // for 0, 1, 2 to 3, 4 to 7, and 8 or more accelerators
 	maxAccelLevel = gridCount/slotLevels - 1
 )
 
@@ -65,7 +65,7 @@
 	nodes []*Node
 }
 
-// grid holds the cells of one accelerator level, with or without free slots.
+// grid holds the cells of one accelerator level, with or without free task slots.
 type grid struct {
 	rows  uint64             // bit set of the rows with workers
 	cols  [levelCount]uint64 // by row: bit set of the columns with workers
@@ -196,7 +196,7 @@
 	distance int
 }
 
-// maxTightCells bounds the cells taken from one class in one search.
+// maxTightCells is the maximum number of cells taken from one class in one search.
 const maxTightCells = 4
 
 // tightest appends to into the non-empty cells that fit demand most tightly, in
--- a/internal/scheduler/fleet/journal.go
+++ b/internal/scheduler/fleet/journal.go
@@ -5,16 +5,16 @@
 	allocation *Allocation
 }
 
-// Begin starts a plan: Rollback undoes, and Keep retains, every Assume and Adopt
-// that follows. Plans don't nest.
+// Begin starts a transaction: Rollback undoes, and Keep retains, every Assume and Adopt
+// that follows. Transactions don't nest.
 func (f *Fleet) Begin() {
-	f.planning = true
+	f.inTransaction = true
 	f.journal = f.journal[:0]
 }
 
-// Rollback ends the plan and releases what was committed since Begin.
+// Rollback ends the transaction and releases what was committed since Begin.
 func (f *Fleet) Rollback() {
-	f.planning = false
+	f.inTransaction = false
 	for i := len(f.journal) - 1; i >= 0; i-- {
 		a := f.journal[i].allocation
 		if f.tasks[a.Task.ID] == a {
@@ -25,16 +25,16 @@
 	f.journal = f.journal[:0]
 }
 
-// Keep ends the plan and retains what was committed since Begin.
+// Keep ends the transaction and retains what was committed since Begin.
 func (f *Fleet) Keep() {
-	f.planning = false
+	f.inTransaction = false
 	clear(f.journal)
 	f.journal = f.journal[:0]
 }
 
-// journalAllocation records an allocation for Rollback while a plan is open.
+// journalAllocation records an allocation for Rollback during a transaction.
 func (f *Fleet) journalAllocation(a *Allocation) {
-	if f.planning {
+	if f.inTransaction {
 		f.journal = append(f.journal, journalEntry{a})
 	}
 }
--- a/internal/scheduler/fleet/node.go
+++ b/internal/scheduler/fleet/node.go
@@ -12,7 +12,7 @@
 // Reasons that restrict new work. All but ReasonProbation make a worker unschedulable.
 const (
 	ReasonLeaving Reason = 1 << iota
-	ReasonNoLease
+	ReasonNoLease        // this instance doesn't hold the worker's lease
 	ReasonQuarantined
 	ReasonProbation // the worker takes one task at a time until enough of them succeed
 )
@@ -41,7 +41,7 @@
 type Allocation struct {
 	Task      *model.Task
 	Node      *Node
-	Since     time.Duration // time at which it was assumed, or confirmed to run
+	Since     time.Duration // time on the caller's clock at which it was assumed, or confirmed to run
 	Confirmed bool          // the worker has reported that the task runs
 	Stopping  bool          // a stop was sent; the resources are still committed
 
--- a/internal/scheduler/fleet/search.go
+++ b/internal/scheduler/fleet/search.go
@@ -98,26 +98,28 @@
 	return s.Selection.accel
 }
 
+// sample is Sample for the given classes.
 func (s *Search) sample(classes []*WorkerClass, start uint64, b Bounds, into []*Node) []*Node {
 	if len(classes) == 0 {
 		return into
 	}
 	first := int(start % uint64(len(classes)))
-	hits := 0
+	classCount := 0 // classes that yielded a feasible worker
 	for i := range classes {
 		c := classes[(first+i)%len(classes)]
 		before := len(into)
 		into = s.sampleClass(c, start, b, into)
 		if len(into) > before {
-			hits++
+			classCount++
 		}
-		if hits >= b.Classes || len(into) >= b.Candidates {
+		if classCount >= b.Classes || len(into) >= b.Candidates {
 			break
 		}
 	}
 	return into
 }
 
+// sampleClass appends feasible workers of one class.
 func (s *Search) sampleClass(c *WorkerClass, start uint64, b Bounds, into []*Node) []*Node {
 	s.cells = c.tightest(s.Demand, s.cells[:0])
 	limit := min(len(into)+b.PerClass, b.Candidates)
@@ -208,6 +210,8 @@
 	return ok && since == s.fleet.freed.next
 }
 
+// scanFreedSince returns the first feasible worker that accept takes among those freed
+// since the given sequence number, or nil.
 func (s *Search) scanFreedSince(since uint64) *Node {
 	ring := &s.fleet.freed
 	for seq := since; seq < ring.next; seq++ {
@@ -219,6 +223,7 @@
 	return nil
 }
 
+// rememberRefusal records that no worker is feasible for the demand now.
 func (s *Search) rememberRefusal() {
 	if len(s.Selection.refusals) >= maxRefusals {
 		clear(s.Selection.refusals)
@@ -226,6 +231,8 @@
 	s.Selection.refusals[s.Demand] = s.fleet.freed.next
 }
 
+// scanClasses returns the first feasible worker of the classes that accept takes, or
+// nil.
 func (s *Search) scanClasses(classes []*WorkerClass) *Node {
 	var found *Node
 	for _, c := range classes {
--- a/internal/scheduler/fleet/selection.go
+++ b/internal/scheduler/fleet/selection.go
@@ -12,14 +12,16 @@
 // Limits of the label index. A selector on a label that isn't indexed still works:
 // it is checked worker by worker.
 const (
-	maxIndexedLabels  = 12
-	maxIndexedValues  = 64   // distinct values of one label
-	maxClasses        = 1024 // more of them take a label out of the index
-	maxSelections     = 1024
-	maxRefusals       = 256 // remembered refusals of one selection
-	separator         = "\x00"
+	maxIndexedLabels = 12
+	maxIndexedValues = 64   // distinct values of one label
+	maxClasses       = 1024 // when there are more, a label is removed from the index
+	maxSelections    = 1024
+	maxRefusals      = 256    // remembered refusals of one selection
+	separator        = "\x00" // between the parts of a key
+	// absent stands for the value of a label that a worker doesn't have. It also marks
+	// classes with accelerators, and the end of a requirement in a hash.
 	absent            = "\x01"
-	estimatedKeyBytes = 128
+	estimatedKeyBytes = 128 // initial buffer size for the key of a class
 )
 
 // Selection is a selector and the classes that match its indexed labels.
--- a/internal/scheduler/fleet/spread.go
+++ b/internal/scheduler/fleet/spread.go
@@ -2,7 +2,8 @@
 
 import "pollenbend/internal/model"
 
-// Spread counts the committed tasks of one job by topology domain.
+// Spread counts the committed tasks of one job by topology domain, or of one team's
+// service for tasks without a job. Only tasks with a spread constraint count.
 type Spread struct {
 	Zones map[string]int
 	Racks map[string]int
@@ -24,8 +25,8 @@
 	return spreadKey{team: t.Team, service: t.Service}
 }
 
-// SpreadOf returns the counts for a task's job, or nil when none of its tasks is
-// committed.
+// SpreadOf returns the counts for a task's job or service, or nil when none of its tasks
+// is committed.
 func (f *Fleet) SpreadOf(t *model.Task) *Spread { return f.spread[spreadKeyOf(t)] }
 
 // Domains returns the number of racks in the fleet if by is "rack", else the number
@@ -37,8 +38,8 @@
 	return len(f.workersByZone)
 }
 
-// countSpread adds delta to the counts of an allocation's job, if its task has a
-// spread constraint.
+// countSpread adds delta to the counts of an allocation's job or service, if its task
+// has a spread constraint.
 func (f *Fleet) countSpread(a *Allocation, delta int) {
 	if a.Task.SpreadBy == "" {
 		return
