--- a/internal/scheduler/preempt/preempt.go
+++ b/internal/scheduler/preempt/preempt.go
@@ -19,8 +19,8 @@
 const Name = "preempt"
 
 const (
-	// maxProbes is the number of workers sampled for one task, maxPlans the number
-	// of them for which victims are chosen and compared.
+	// maxProbes is the number of workers sampled for one task. maxPlans is the maximum
+	// number of them for which victims are chosen and the plans compared.
 	maxProbes = 64
 	maxPlans  = 10
 	// maxPreemptions is how often one logical task may be preempted. The count restarts
@@ -29,8 +29,8 @@
 	preemptionWindow = time.Hour
 	// checkpointCost is the run time lost by a checkpoint and the restart from it.
 	checkpointCost = 2 * time.Second
-	// checkpointsPerFailure is the expected number of checkpoints for one that fails
-	// and so loses all work since the start.
+	// One in checkpointsPerFailure checkpoints is expected to fail. The task then loses
+	// all work since its start.
 	checkpointsPerFailure = 10
 	// normalClassMultiplier is the cost of preempting work of class normal relative to
 	// class low.
@@ -177,7 +177,7 @@
 			continue
 		}
 		key := logicalTaskOf(a.Task)
-		p.history[key] = preemptionRecord{count: p.recentStops(now, key) + 1, last: now}
+		p.history[key] = preemptionRecord{count: p.recentPreemptions(now, key) + 1, last: now}
 		if err := f.MarkStopping(v.Task); err != nil {
 			return err
 		}
@@ -185,9 +185,9 @@
 	return nil
 }
 
-// recentStops returns how often a logical task was preempted, or 0 if the last
+// recentPreemptions returns how often a logical task was preempted, or 0 if the last
 // preemption is at least preemptionWindow ago.
-func (p *Planner) recentStops(now time.Duration, key logicalTask) int {
+func (p *Planner) recentPreemptions(now time.Duration, key logicalTask) int {
 	r, ok := p.history[key]
 	if !ok || now-r.last >= preemptionWindow {
 		return 0
@@ -212,7 +212,7 @@
 type victimCandidate struct {
 	allocation   *fleet.Allocation
 	cost         float64
-	costPerFreed float64 // cost divided by the ratio of the shortfall that it frees
+	costPerFreed float64 // cost divided by the part of the missing capacity that it frees
 }
 
 // planOn chooses victims on one worker. It returns false if all candidates
@@ -263,29 +263,29 @@
 // was preempted too often or frees nothing that is missing. The cost quadruples with
 // each recent preemption.
 func (p *Planner) victimCandidate(now time.Duration, a *fleet.Allocation, missing model.Resources) (victimCandidate, bool) {
-	stops := p.recentStops(now, logicalTaskOf(a.Task))
-	if stops >= maxPreemptions {
+	preemptions := p.recentPreemptions(now, logicalTaskOf(a.Task))
+	if preemptions >= maxPreemptions {
 		return victimCandidate{}, false
 	}
-	useful := shares.DominantShare(minOf(a.Task.Demand, missing), missing)
-	if useful == 0 {
+	freedRatio := shares.DominantShare(minOf(a.Task.Demand, missing), missing)
+	if freedRatio == 0 {
 		return victimCandidate{}, false
 	}
-	lost := lostWork(now, a) * float64(int(1)<<(2*stops))
+	lost := lostWork(now, a) * float64(int(1)<<(2*preemptions))
 	if a.Task.Class != model.ClassLow {
 		lost *= normalClassMultiplier
 	}
 	cost := lost * shares.DominantShare(a.Task.Demand, a.Node.Worker.Capacity)
-	return victimCandidate{allocation: a, cost: cost, costPerFreed: cost / useful}, true
+	return victimCandidate{allocation: a, cost: cost, costPerFreed: cost / freedRatio}, true
 }
 
-// lostWork returns the expected run time lost, in seconds.
+// lostWork returns the run time, in seconds, that preempting a task is expected to lose.
 func lostWork(now time.Duration, a *fleet.Allocation) float64 {
 	if a.Task.Kind == model.KindService {
 		return checkpointCost.Seconds()
 	}
-	unsaved := max(now-a.Since, 0) / checkpointsPerFailure
-	return (checkpointCost + unsaved).Seconds()
+	expectedLoss := max(now-a.Since, 0) / checkpointsPerFailure
+	return (checkpointCost + expectedLoss).Seconds()
 }
 
 // chooseVictims takes candidates in order until demand fits, then drops those that
--- a/internal/scheduler/preempt/preempt_test.go
+++ b/internal/scheduler/preempt/preempt_test.go
@@ -79,7 +79,7 @@
 	require.True(t, status.Success())
 	require.NoError(t, p.Apply(now, f, u, plan, now+time.Minute))
 	f.Release("v")
-	require.ErrorIs(t, f.Assume(now, victim("thief", 500, "low"), "w"), fleet.ErrInsufficientCapacity)
+	require.ErrorIs(t, f.Assume(now, victim("other", 500, "low"), "w"), fleet.ErrInsufficientCapacity)
 	require.NoError(t, f.Assume(now, victim("beside", 400, "low"), "w"))
 	require.NoError(t, f.Assume(now, u, "w"))
 }
