--- a/internal/scheduler/quarantine/jobs.go
+++ b/internal/scheduler/quarantine/jobs.go
@@ -6,12 +6,13 @@
 	// maxJobs is the maximum number of jobs with a record. The oldest record is
 	// deleted first.
 	maxJobs = 8192
-	// maxWorkersByJob is the maximum number of workers in one job's record.
-	maxWorkersByJob = 32
-	// maxJobsByWorker is the maximum number of jobs that count once against a worker.
-	maxJobsByWorker = 32
-	// priorRate is the assumed failure rate of an unknown job, priorWeight the number
-	// of workers whose outcomes this assumption is worth.
+	// maxWorkersPerJob is the maximum number of workers in one job's record.
+	maxWorkersPerJob = 32
+	// maxJobsPerWorker is the maximum number of jobs without a success on another worker
+	// that count against a worker, each once.
+	maxJobsPerWorker = 32
+	// priorRate is the assumed failure rate of an unknown job. It weighs as much as the
+	// outcomes on priorWeight workers.
 	priorRate   = 0.1
 	priorWeight = 2
 )
@@ -35,7 +36,7 @@
 // Each worker counts once, because a broken one that fails fast would otherwise
 // dominate the failure rate.
 type jobRecord struct {
-	workers [maxWorkersByJob]outcome
+	workers [maxWorkersPerJob]outcome
 	size    int // used entries of workers
 	next    int // entry to overwrite next when all are used
 }
@@ -54,13 +55,13 @@
 			return
 		}
 	}
-	if j.size < maxWorkersByJob {
+	if j.size < maxWorkersPerJob {
 		j.workers[j.size] = outcome{worker, failed}
 		j.size++
 		return
 	}
 	j.workers[j.next] = outcome{worker, failed}
-	j.next = (j.next + 1) % maxWorkersByJob
+	j.next = (j.next + 1) % maxWorkersPerJob
 }
 
 // failureRate returns the job's failure rate on all recorded workers but except, and
--- a/internal/scheduler/quarantine/quarantine.go
+++ b/internal/scheduler/quarantine/quarantine.go
@@ -92,7 +92,7 @@
 	if r.byJob == nil {
 		r.byJob = make(map[jobKey]float64)
 	}
-	if _, counted := r.byJob[key]; !counted && len(r.byJob) < maxJobsByWorker {
+	if _, counted := r.byJob[key]; !counted && len(r.byJob) < maxJobsPerWorker {
 		r.byJob[key] = weight
 		r.evidence += weight
 	}
@@ -119,6 +119,7 @@
 	r.quarantined = true
 	r.probation = false
 	r.quarantinedAt = now
+	// The limit of 16 keeps the shift from overflowing; firstDuration<<16 exceeds maxDuration.
 	r.until = now + min(firstDuration<<min(r.quarantines, 16), maxDuration)
 	r.quarantines++
 	tr.quarantined = append(tr.quarantined, r)
@@ -156,7 +157,7 @@
 
 // updateProbation ends a probation after enough successes. It quarantines the worker
 // again, and returns true, when a task fails and the evidence is at least half of
-// evidenceThreshold: a job fails there that other workers run.
+// evidenceThreshold, that is, when jobs fail there that succeed on other workers.
 func (tr *Tracker) updateProbation(now time.Duration, r *record, failed bool) bool {
 	if failed && r.evidence >= evidenceThreshold/2 {
 		return tr.quarantine(now, r)
