--- a/internal/scheduler/queue/cancel.go
+++ b/internal/scheduler/queue/cancel.go
@@ -41,6 +41,7 @@
 	return out
 }
 
+// cancelParked removes the parked tasks of a job and returns them in the order received.
 func (q *Queue) cancelParked(tm *team, job model.JobID) []*model.Task {
 	var found []*item
 	for _, it := range q.parked {
@@ -58,6 +59,8 @@
 	return out
 }
 
+// cancelInLane removes the tasks of a job from a lane and returns them in the order
+// received.
 func (q *Queue) cancelInLane(tm *team, b *backlog, l *lane, job model.JobID) []*model.Task {
 	var found []*item
 	for _, it := range l.items[l.head:] {
@@ -73,6 +76,8 @@
 	return out
 }
 
+// cancel removes a waiting task. Its item stays in the lane without a task until it is
+// trimmed. The caller updates the heaps.
 func (q *Queue) cancel(tm *team, b *backlog, it *item) {
 	t := it.task
 	delete(q.waiting, t.ID)
--- a/internal/scheduler/queue/lane.go
+++ b/internal/scheduler/queue/lane.go
@@ -32,8 +32,8 @@
 
 func (l *lane) push(it *item) { l.items = append(l.items, it) }
 
-// pushFront requeues an item before all that were received later. It suits items
-// that belong near the front.
+// pushFront requeues an item before all that were received later. It is
+// efficient for an item that belongs near the front.
 func (l *lane) pushFront(it *item) {
 	if l.head == 0 {
 		l.items = append(l.items, nil)
@@ -92,8 +92,8 @@
 	l.head = 0
 }
 
-// canceled is called after one of the lane's items was canceled. If it was the
-// first, the lane is unblocked.
+// canceled updates the lane after one of its items was canceled. If it was the first,
+// the lane is unblocked.
 func (l *lane) canceled() {
 	if !l.empty() && l.items[l.head].task == nil {
 		l.blocked = false
--- a/internal/scheduler/queue/queue.go
+++ b/internal/scheduler/queue/queue.go
@@ -80,7 +80,7 @@
 	teams      map[model.TeamID]*team
 	heaps      [classCount]teamHeap
 	waiting    map[model.TaskID]*item
-	popped     map[model.TaskID]*item // returned by Pop, not yet settled by the caller
+	popped     map[model.TaskID]*item // returned by Pop, until Started, Defer, Park or Drop is called
 	parked     map[model.TaskID]*item // waiting for preempted capacity
 	blocked    []blockedLane
 	seq        uint64 // sequence number of the task pushed last
--- a/internal/scheduler/queue/queue_test.go
+++ b/internal/scheduler/queue/queue_test.go
@@ -132,7 +132,7 @@
 
 func (l limiter) Release(team model.TeamID) { l[team]++ }
 
-func TestUpperLimitSkipsTeam(t *testing.T) {
+func TestTeamAtItsConcurrencyLimitIsSkipped(t *testing.T) {
 	l := limiter{"a": 1, "b": 5}
 	q := New(Config{Limiter: l})
 	first := task("a", "a1")
