--- a/internal/scheduler/shares/shares_test.go
+++ b/internal/scheduler/shares/shares_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestShareLevelFollowsDominantResource(t *testing.T) {
+func TestWeightedShareFollowsDominantResource(t *testing.T) {
 	b := NewAccounts()
 	b.SetCapacity(model.Resources{MilliCPU: 1000, MemoryMiB: 1000})
 	b.SetWeight("a", 2)
