--- a/internal/scheduler/estimates/estimates.go
+++ b/internal/scheduler/estimates/estimates.go
@@ -16,10 +16,10 @@
 	// windowSize is the number of outcomes in a window. When the current window is full,
 	// the previous one is dropped.
 	windowSize = 512
-	// sizeQuantile and runTimeQuantile are the percentiles of the observed usage and run
+	// sizePercentile and runTimePercentile are the percentiles of the observed usage and run
 	// time that estimates are based on.
-	sizeQuantile    = 95
-	runTimeQuantile = 50
+	sizePercentile    = 95
+	runTimePercentile = 50
 	// headroomPercent is added to a learned size.
 	headroomPercent = 10
 	// maxRatio is the maximum ratio of an estimate to the declared size, and of the
@@ -29,7 +29,7 @@
 	// first.
 	maxKeys = 4096
 
-	significantDigits = 1
+	significantDigits = 1 // of the values in a histogram
 	permille          = 1000
 	maxPermille       = 1 << 14 // of the declared size
 	maxRunTimeMillis  = 1 << 32
@@ -121,8 +121,8 @@
 
 // Demand returns the resources to commit for a task: the declared demand, adjusted
 // towards the usage of earlier tasks. It never exceeds largest, the maximum worker
-// capacity in each dimension, unless the declared demand does. Slots and accelerators
-// stay as declared.
+// capacity in each dimension, unless the declared demand does. Task slots and
+// accelerators stay as declared.
 func (e *Estimator) Demand(t *model.Task, largest model.Resources) model.Resources {
 	r := e.records[keyOf(t)]
 	if r == nil {
@@ -140,7 +140,7 @@
 	if r == nil {
 		return t.RunTime
 	}
-	learned, count := weightedQuantile(runTimeQuantile, r.current.runTime, r.previous.runTime)
+	learned, count := weightedPercentile(runTimePercentile, r.current.runTime, r.previous.runTime)
 	if t.RunTime == 0 && count > 0 {
 		return time.Duration(learned) * time.Millisecond
 	}
@@ -153,20 +153,20 @@
 	if declared == 0 {
 		return 0
 	}
-	ratio, count := weightedQuantile(sizeQuantile, windows...)
+	ratio, count := weightedPercentile(sizePercentile, windows...)
 	learned := declared * ratio / permille
 	out := blend(declared, learned+learned*headroomPercent/100, count)
 	out = min(max(out, declared/maxRatio), declared*maxRatio)
 	return min(out, max(largest, declared))
 }
 
-// weightedQuantile returns the mean of the windows' quantiles, weighted by their
-// numbers of values, and the total number of values. quantile is in percent.
-func weightedQuantile(quantile float64, windows ...*hdrhistogram.Histogram) (value, count int64) {
+// weightedPercentile returns the mean of the windows' percentiles, weighted by their
+// numbers of values, and the total number of values. percentile is from 0 to 100.
+func weightedPercentile(percentile float64, windows ...*hdrhistogram.Histogram) (value, count int64) {
 	var sum int64
 	for _, h := range windows {
 		n := h.TotalCount()
-		sum += h.ValueAtQuantile(quantile) * n
+		sum += h.ValueAtQuantile(percentile) * n
 		count += n
 	}
 	if count == 0 {
