--- a/internal/scheduler/plugin/bestfit/bestfit.go
+++ b/internal/scheduler/plugin/bestfit/bestfit.go
@@ -11,8 +11,8 @@
 // Name is the plugin's name.
 const Name = "best fit"
 
-// Weights in the score: of the remaining capacity, and of the imbalance between
-// remaining processors and memory.
+// Weights in the score, which add up to plugin.MaxScore: of the remaining capacity, and
+// of the imbalance between remaining processors and memory.
 const (
 	remainingWeight = 7000
 	imbalanceWeight = plugin.MaxScore - remainingWeight
--- a/internal/scheduler/plugin/failures/failures.go
+++ b/internal/scheduler/plugin/failures/failures.go
@@ -49,8 +49,8 @@
 	f.forget(now)
 }
 
-// forget deletes the records at the front of the order while they have expired or
-// there are more than maxRecords.
+// forget deletes the records with the earliest first failure, as long as they have
+// expired or there are more than maxRecords.
 func (f *Filter) forget(now time.Duration) {
 	for len(f.order) > 0 {
 		oldest := f.order[0]
--- a/internal/scheduler/plugin/plugin.go
+++ b/internal/scheduler/plugin/plugin.go
@@ -20,7 +20,8 @@
 	Avoid
 	// Unfit means that the worker can't take the task now.
 	Unfit
-	// Impossible means that no worker could take the task even if it were empty.
+	// Impossible means that no worker could take the task even if the worker ran no other
+	// tasks.
 	Impossible
 )
 
@@ -44,7 +45,7 @@
 
 // State is the input shared by all plugins in one decision.
 type State struct {
-	Now    time.Duration // the caller's clock
+	Now    time.Duration // time of the decision on the caller's clock, since an origin of its choice
 	Fleet  *fleet.Fleet
 	Search *fleet.Search
 }
