--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -23,12 +23,12 @@
 	if s, ok := p.(sampledPlacer); ok {
 		filler = s
 	} else {
-		filler.Fleet = p.ledger()
+		filler.Fleet = p.fleet()
 	}
 	for range n {
 		t := w.next()
 		if node := filler.place(t); node != nil {
-			require.NoError(b, p.ledger().Assume(0, t, node.Worker.ID))
+			require.NoError(b, p.fleet().Assume(0, t, node.Worker.ID))
 			running = append(running, t.ID)
 		}
 	}
@@ -64,7 +64,7 @@
 	for b.Loop() {
 		last := len(running) - 1
 		end := rng.IntN(len(running))
-		p.ledger().Release(running[end])
+		p.fleet().Release(running[end])
 		running[end] = running[last]
 		running = running[:last]
 		for range 2 {
@@ -74,7 +74,7 @@
 			t := w.next()
 			start := time.Now()
 			n := p.place(t)
-			if n != nil && p.ledger().Assume(0, t, n.Worker.ID) == nil {
+			if n != nil && p.fleet().Assume(0, t, n.Worker.ID) == nil {
 				running = append(running, t.ID)
 				placed++
 			}
@@ -122,7 +122,7 @@
 		if n == nil {
 			return usedCPURatio(p)
 		}
-		if err := p.ledger().Assume(0, t, n.Worker.ID); err != nil {
+		if err := p.fleet().Assume(0, t, n.Worker.ID); err != nil {
 			panic(err)
 		}
 	}
@@ -132,7 +132,7 @@
 // accelerators. It leaves out the others, because the tasks that are packed need none.
 func usedCPURatio(p placer) float64 {
 	var used, capacity int64
-	for _, n := range p.ledger().Nodes() {
+	for _, n := range p.fleet().Nodes() {
 		if n.Worker.Capacity.Accelerators == 0 {
 			used += n.Used().MilliCPU
 			capacity += n.Worker.Capacity.MilliCPU
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// collectRandom adds random feasible workers of the whole fleet. The index alone
-// would not do for a spread constraint: the workers of the cells that fit most
-// tightly tend to be in few racks.
+// collectRandom adds random feasible workers of the whole fleet. The candidates from
+// the index aren't enough for a spread constraint: the workers of the cells that fit
+// most tightly tend to be in few racks.
 func (s *Scheduler) collectRandom(t *model.Task) {
 	nodes := s.Fleet.Nodes()
 	for range min(randomProbes, len(nodes)) {
--- a/internal/scheduler/explain.go
+++ b/internal/scheduler/explain.go
@@ -11,14 +11,14 @@
 // feasiblePluginName is the plugin name in statuses of Feasible.
 const feasiblePluginName = "feasible"
 
-// Feasible reports whether any worker could run the task if it were empty. If
-// not, the status has code Impossible and a reason with counts of workers.
+// Feasible reports whether any worker could run the task if the worker ran no other
+// tasks. If not, the status has code Impossible and a reason with counts of workers.
 func (s *Scheduler) Feasible(t *model.Task) plugin.Status {
 	return s.FeasibleGang(t, 1)
 }
 
-// FeasibleGang reports whether the fleet, if it were empty, could run count tasks
-// like t at the same time. Its status is like that of Feasible.
+// FeasibleGang reports whether the fleet, if it ran no other tasks, could run count
+// tasks like t at the same time. Its status is like that of Feasible.
 func (s *Scheduler) FeasibleGang(t *model.Task, count int) plugin.Status {
 	f := s.Fleet.Feasible(t.Require, t.Demand, count)
 	if f.MaxTasks >= count {
@@ -36,20 +36,21 @@
 	return plugin.Status{Code: plugin.Impossible, Plugin: feasiblePluginName, Reason: reason}
 }
 
-// Refusal is the number of workers that one filter refuses or avoids for one reason.
+// Refusal is the number of workers that one filter refuses, or advises to avoid, for one
+// reason.
 type Refusal struct {
 	Plugin  string `json:"plugin"`
 	Reason  string `json:"reason"`
 	Workers int    `json:"workers"`
-	Avoid   bool   `json:"avoid,omitempty"` // chosen only if no worker without such a reason is found
+	Avoid   bool   `json:"avoid,omitempty"` // these workers are chosen only if no worker without such a reason is found
 }
 
 // Explanation counts, by filter and reason, why a task can't be placed now.
 type Explanation struct {
-	Workers  int       `json:"workers"`
+	Workers  int       `json:"workers"` // all workers of the fleet
 	Fitting  int       `json:"fitting"` // feasible workers: those that could take the task now
 	Refusals []Refusal `json:"refusals,omitempty"`
-	Feasible string    `json:"feasible,omitempty"` // why no worker could take it even if empty
+	Feasible string    `json:"feasible,omitempty"` // why no worker could take the task even if the worker ran no other tasks
 }
 
 // Explain counts, over all workers, which filter refuses the task first. It runs
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -129,14 +129,14 @@
 	return chosen, d, status
 }
 
-// prepare resets the search and the state that the plugins share to task t.
+// prepare sets up the search and the state that the plugins share for task t.
 func (s *Scheduler) prepare(now time.Duration, t *model.Task) {
 	s.search.Start(s.Fleet, s.Fleet.Select(t.Require), t.Demand)
 	s.state = plugin.State{Now: now, Fleet: s.Fleet, Search: &s.search}
 }
 
-// findWorker chooses the best of the sampled candidates. If no filter passes any
-// of them, it scans all workers for the first that is feasible.
+// findWorker chooses the best of the sampled candidates. If the filters refuse all of
+// them, it scans the workers for the first feasible one that no filter refuses.
 func (s *Scheduler) findWorker(t *model.Task) (*fleet.Node, Decision, plugin.Status) {
 	if s.search.Selection.Empty() {
 		return nil, Decision{}, statusNoMatch
--- a/internal/scheduler/workload_test.go
+++ b/internal/scheduler/workload_test.go
@@ -124,12 +124,12 @@
 // placer is a placement policy over its own fleet.
 type placer interface {
 	place(t *model.Task) *fleet.Node
-	ledger() *fleet.Fleet
+	fleet() *fleet.Fleet
 }
 
 type sampledPlacer struct{ *Scheduler }
 
-func (s sampledPlacer) ledger() *fleet.Fleet { return s.Fleet }
+func (s sampledPlacer) fleet() *fleet.Fleet { return s.Fleet }
 
 func (s sampledPlacer) place(t *model.Task) *fleet.Node {
 	n, _, _ := s.Scheduler.place(0, t)
@@ -147,7 +147,7 @@
 	rng *rand.Rand
 }
 
-func (p randomFeasible) ledger() *fleet.Fleet { return p.Fleet }
+func (p randomFeasible) fleet() *fleet.Fleet { return p.Fleet }
 
 // place probes workers at random, then scans from a random start.
 func (p randomFeasible) place(t *model.Task) *fleet.Node {
@@ -168,7 +168,7 @@
 
 type firstFit struct{ *fleet.Fleet }
 
-func (p firstFit) ledger() *fleet.Fleet { return p.Fleet }
+func (p firstFit) fleet() *fleet.Fleet { return p.Fleet }
 
 func (p firstFit) place(t *model.Task) *fleet.Node {
 	for _, n := range p.Nodes() {
@@ -181,7 +181,7 @@
 
 type bestFit struct{ *fleet.Fleet }
 
-func (p bestFit) ledger() *fleet.Fleet { return p.Fleet }
+func (p bestFit) fleet() *fleet.Fleet { return p.Fleet }
 
 // place scans all workers for the minimum remaining capacity, relative to the largest
 // worker.
