--- a/internal/scheduler/fleet/fleet_test.go
+++ b/internal/scheduler/fleet/fleet_test.go
@@ -42,9 +42,9 @@
 	{{Label: "rack", Op: model.OpExists}},
 }
 
-// checkTotals recomputes the sums that the fleet maintains and compares them. adopted says
-// that workers may be overcommitted.
-func checkTotals(t require.TestingT, f *Fleet, adopted bool) {
+// checkTotals recomputes the sums that the fleet maintains and compares them. Workers may
+// be overcommitted if overcommitted is true.
+func checkTotals(t require.TestingT, f *Fleet, overcommitted bool) {
 	var capacity, used model.Resources
 	count := 0
 	for _, n := range f.nodes {
@@ -60,7 +60,7 @@
 			capacity = capacity.Add(n.Worker.Capacity)
 			require.Equal(t, cellAddressOf(n.Available()), n.cellAt)
 		}
-		if !adopted {
+		if !overcommitted {
 			require.True(t, sum.Fits(n.Worker.Capacity), "committed %v of %v", sum, n.Worker.Capacity)
 		}
 	}
