--- a/internal/scheduler/preempt/preempt_test.go
+++ b/internal/scheduler/preempt/preempt_test.go
@@ -100,11 +100,11 @@
 	require.Equal(t, plugin.Unfit, status.Code)
 }
 
-func TestPreemptBudget(t *testing.T) {
+func TestTaskIsPreemptedAtMostMaxPreemptionsTimes(t *testing.T) {
 	f := oneWorker()
 	p := New(1)
 	at := now
-	stops := 0
+	preemptions := 0
 	for i := range 10 {
 		at += time.Minute
 		v := victim(fmt.Sprint("attempt", i), 1000, "low")
@@ -113,21 +113,21 @@
 		u := urgent("u", 500)
 		plan, status := p.Plan(at, f, u, EligibleForUrgent)
 		if status.Success() {
-			stops++
+			preemptions++
 			require.NoError(t, p.Apply(at, f, u, plan, at+time.Second))
 		}
 		f.Unhold("u")
 		f.Release(v.ID)
 	}
-	require.Equal(t, maxPreemptions, stops)
+	require.Equal(t, maxPreemptions, preemptions)
 }
 
 func TestPreemptForShareTakesOnlyFromTeamsAboveTheirs(t *testing.T) {
 	f := oneWorker()
 	accounts := shares.NewAccounts()
 	accounts.SetCapacity(f.Capacity())
-	for _, v := range []*model.Task{victim("rich1", 400, "normal"), victim("rich2", 300, "normal"), victim("poor", 300, "low")} {
-		if v.ID == "poor" {
+	for _, v := range []*model.Task{victim("above1", 400, "normal"), victim("above2", 300, "normal"), victim("below", 300, "low")} {
+		if v.ID == "below" {
 			v.Team = "b"
 		}
 		require.NoError(t, f.Assume(0, v, "w"))
@@ -138,5 +138,5 @@
 	plan, status := New(1).Plan(now, f, waiting, EligibleForShare(accounts, targets))
 	require.True(t, status.Success())
 	require.Len(t, plan.Victims, 1)
-	require.Equal(t, model.TaskID("rich2"), plan.Victims[0].Task)
+	require.Equal(t, model.TaskID("above2"), plan.Victims[0].Task)
 }
