--- a/internal/scheduler/quarantine/quarantine_test.go
+++ b/internal/scheduler/quarantine/quarantine_test.go
@@ -32,9 +32,9 @@
 	return out
 }
 
-// observeRandomOutcomes reports random outcomes to a new Tracker: bad workers fail every
+// observeRandomOutcomes reports random outcomes to a new Tracker: broken workers fail every
 // task, job 0 fails on every worker, and other jobs fail one time in twenty.
-func observeRandomOutcomes(f *fleet.Fleet, bad map[model.WorkerID]bool, outcomes int) *Tracker {
+func observeRandomOutcomes(f *fleet.Fleet, broken map[model.WorkerID]bool, outcomes int) *Tracker {
 	const seed = 11
 	rng := rand.New(rand.NewPCG(seed, seed))
 	tr := New(f)
@@ -45,7 +45,7 @@
 			continue
 		}
 		job := rng.IntN(20)
-		failed := bad[n.Worker.ID] || job == 0 || rng.IntN(20) == 0
+		failed := broken[n.Worker.ID] || job == 0 || rng.IntN(20) == 0
 		tr.Observe(time.Duration(i)*time.Millisecond, n.Worker.ID, &model.Task{Job: model.JobID(fmt.Sprint(job))}, failed)
 	}
 	return tr
@@ -53,9 +53,9 @@
 
 func TestQuarantineFindsWorkersThatFailEverything(t *testing.T) {
 	f := newFleet(200)
-	bad := map[model.WorkerID]bool{"w3": true, "w77": true, "w120": true, "w199": true}
-	observeRandomOutcomes(f, bad, 10_000)
-	require.Equal(t, bad, quarantinedWorkers(f))
+	broken := map[model.WorkerID]bool{"w3": true, "w77": true, "w120": true, "w199": true}
+	observeRandomOutcomes(f, broken, 10_000)
+	require.Equal(t, broken, quarantinedWorkers(f))
 }
 
 func TestQuarantineIgnoresJobsThatFailEverywhere(t *testing.T) {
@@ -71,11 +71,11 @@
 
 func TestQuarantineIsBounded(t *testing.T) {
 	f := newFleet(100)
-	bad := map[model.WorkerID]bool{}
+	broken := map[model.WorkerID]bool{}
 	for i := range 30 {
-		bad[workerID(i)] = true
+		broken[workerID(i)] = true
 	}
-	tr := observeRandomOutcomes(f, bad, 20_000)
+	tr := observeRandomOutcomes(f, broken, 20_000)
 	require.Equal(t, 5, tr.Quarantined())
 }
 
