--- a/internal/scheduler/shares/shares_test.go
+++ b/internal/scheduler/shares/shares_test.go
@@ -15,10 +15,10 @@
 		want   []float64
 	}{
 		{"all want more", []Claim{{"a", 1, 1}, {"b", 3, 1}}, []float64{0.25, 0.75}},
-		{"idle part is borrowed", []Claim{{"a", 1, 1}, {"b", 3, 0.15}}, []float64{0.85, 0.15}},
-		{"borrowed by weight", []Claim{{"a", 1, 1}, {"b", 2, 0.1}, {"c", 2, 1}}, []float64{0.3, 0.1, 0.6}},
-		{"everybody is content", []Claim{{"a", 1, 0.1}, {"b", 1, 0.2}}, []float64{0.1, 0.2}},
-		{"nobody", nil, []float64{}},
+		{"unwanted share goes to the others", []Claim{{"a", 1, 1}, {"b", 3, 0.15}}, []float64{0.85, 0.15}},
+		{"unwanted share is divided by weight", []Claim{{"a", 1, 1}, {"b", 2, 0.1}, {"c", 2, 1}}, []float64{0.3, 0.1, 0.6}},
+		{"all get what they want", []Claim{{"a", 1, 0.1}, {"b", 1, 0.2}}, []float64{0.1, 0.2}},
+		{"no claims", nil, []float64{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -32,15 +32,15 @@
 }
 
 func TestWeightedShareFollowsDominantResource(t *testing.T) {
-	b := NewAccounts()
-	b.SetCapacity(model.Resources{MilliCPU: 1000, MemoryMiB: 1000})
-	b.SetWeight("a", 2)
-	b.SetRemoteUsage("a", model.Resources{MilliCPU: 100})
-	b.Charge("a", model.Resources{MemoryMiB: 400})
-	require.InDelta(t, 0.4, b.Account("a").DominantShare(), 1e-9)
-	require.InDelta(t, 0.2, b.Account("a").WeightedShare(), 1e-9)
-	b.Refund("a", model.Resources{MemoryMiB: 350})
-	require.InDelta(t, 0.1, b.Account("a").DominantShare(), 1e-9)
-	b.SetCapacity(model.Resources{MilliCPU: 200, MemoryMiB: 1000})
-	require.InDelta(t, 0.5, b.Account("a").DominantShare(), 1e-9)
+	accounts := NewAccounts()
+	accounts.SetCapacity(model.Resources{MilliCPU: 1000, MemoryMiB: 1000})
+	accounts.SetWeight("a", 2)
+	accounts.SetRemoteUsage("a", model.Resources{MilliCPU: 100})
+	accounts.Charge("a", model.Resources{MemoryMiB: 400})
+	require.InDelta(t, 0.4, accounts.Account("a").DominantShare(), 1e-9)
+	require.InDelta(t, 0.2, accounts.Account("a").WeightedShare(), 1e-9)
+	accounts.Refund("a", model.Resources{MemoryMiB: 350})
+	require.InDelta(t, 0.1, accounts.Account("a").DominantShare(), 1e-9)
+	accounts.SetCapacity(model.Resources{MilliCPU: 200, MemoryMiB: 1000})
+	require.InDelta(t, 0.5, accounts.Account("a").DominantShare(), 1e-9)
 }
