--- a/internal/scheduler/experiment_test.go
+++ b/internal/scheduler/experiment_test.go
@@ -181,8 +181,8 @@
 	if !x.wrongSizes {
 		return t.Demand
 	}
-	octaves := int(hashString(string(t.Team)+string(t.Kind))%5) - 2
-	factor := float64(int64(1)<<(octaves+2)) / 4 * (0.9 + 0.2*x.rng.Float64())
+	exponent := int(hashString(string(t.Team)+string(t.Kind))%5) - 2
+	factor := float64(int64(1)<<(exponent+2)) / 4 * (0.9 + 0.2*x.rng.Float64())
 	return model.Resources{
 		MilliCPU:  int64(float64(t.Demand.MilliCPU) * factor),
 		MemoryMiB: int64(float64(t.Demand.MemoryMiB) * factor),
@@ -288,8 +288,8 @@
 }
 
 func (x *experiment) unpark(id model.TaskID) {
-	h, _ := x.parkedDemand[id]
-	x.pending[h.team] = x.pending[h.team].Sub(h.demand)
+	p, _ := x.parkedDemand[id]
+	x.pending[p.team] = x.pending[p.team].Sub(p.demand)
 	delete(x.parkedDemand, id)
 	x.q.Unpark(id)
 }
--- a/internal/scheduler/shares_bench_test.go
+++ b/internal/scheduler/shares_bench_test.go
@@ -47,16 +47,16 @@
 
 func runShares(b *testing.B, o options) {
 	x := newExperiment(o)
-	next := time.Duration(0)
+	nextRebalance := time.Duration(0)
 	for _, phase := range []struct {
 		name  string
 		until time.Duration
 	}{{"before", shiftAt - tick}, {"10s", shiftAt + tenSecondsAfter}, {"60s", shiftAt + oneMinuteAfter}, {"settled", shiftAt + settledAfter}} {
 		for x.now < phase.until {
 			x.refillBacklogs()
-			if x.now >= next {
+			if x.now >= nextRebalance {
 				x.targets = x.rebalance()
-				next += time.Second
+				nextRebalance += time.Second
 			}
 			x.advance()
 		}
--- a/internal/scheduler/waiting_bench_test.go
+++ b/internal/scheduler/waiting_bench_test.go
@@ -16,7 +16,7 @@
 	waitingRunDuration = 600 * time.Second
 	warmUpDuration     = 360 * time.Second
 	arrivalsPerUrgent  = 50 // one in this many arrivals is urgent
-	arrivalsPerLow     = 5
+	arrivalsPerLow     = 5  // one in this many of the others is of class low
 )
 
 // waitHistograms records the waiting times after the warm-up, in milliseconds.
@@ -62,15 +62,15 @@
 		}
 	}
 	rate := load * x.arrivalRate()
-	next := time.Duration(0)
-	second := time.Duration(0)
+	nextArrival := time.Duration(0)
+	nextRebalance := time.Duration(0)
 	for x.now < waitingRunDuration {
-		for ; next <= x.now; next += time.Duration(x.rng.ExpFloat64() / rate * float64(time.Second)) {
+		for ; nextArrival <= x.now; nextArrival += time.Duration(x.rng.ExpFloat64() / rate * float64(time.Second)) {
 			x.arrive()
 		}
-		if x.now >= second {
+		if x.now >= nextRebalance {
 			x.targets = x.rebalance()
-			second += time.Second
+			nextRebalance += time.Second
 		}
 		x.advance()
 	}
