--- a/internal/scheduler/fleet/fleet_test.go
+++ b/internal/scheduler/fleet/fleet_test.go
@@ -42,9 +42,9 @@
 	{{Label: "rack", Op: model.OpExists}},
 }
 
-// checkLedger recomputes the sums that the fleet maintains and compares them. adopted says
-// that workers may be overcommitted.
-func checkLedger(t require.TestingT, f *Fleet, adopted bool) {
+// checkTotals recomputes the sums that the fleet maintains and compares them. Workers may
+// be overcommitted if overcommitted is true.
+func checkTotals(t require.TestingT, f *Fleet, overcommitted bool) {
 	var capacity, used model.Resources
 	count := 0
 	for _, n := range f.nodes {
@@ -60,7 +60,7 @@
 			capacity = capacity.Add(n.Worker.Capacity)
 			require.Equal(t, cellAddressOf(n.Available()), n.cellAt)
 		}
-		if !adopted {
+		if !overcommitted {
 			require.True(t, sum.Fits(n.Worker.Capacity), "committed %v of %v", sum, n.Worker.Capacity)
 		}
 	}
@@ -80,9 +80,9 @@
 	return false
 }
 
-// TestLedgerAndIndex changes a fleet at random. After each step it compares the index with a
+// TestTotalsAndIndex changes a fleet at random. After each step it compares the index with a
 // full scan and the sums with recomputed ones.
-func TestLedgerAndIndex(t *testing.T) {
+func TestTotalsAndIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := New()
 		next := 0
@@ -127,7 +127,7 @@
 				require.Equal(t, before, f.Used())
 			},
 			"": func(t *rapid.T) {
-				checkLedger(t, f, adopted || shrunk)
+				checkTotals(t, f, adopted || shrunk)
 				selector := rapid.SampledFrom(selectors).Draw(t, "selector")
 				var s Search
 				s.Start(f, f.Select(selector), drawResources(t, "wanted", 3))
