--- a/internal/cell/advice/advice.go
+++ b/internal/cell/advice/advice.go
@@ -30,18 +30,18 @@
 // failureBackoff is how long a delegate gets no calls after one of its calls failed.
 const failureBackoff = 400 * time.Millisecond
 
-// CallSent records that a call of the expected duration cost is sent at now.
-func (d *Delegate) CallSent(now time.Time, cost time.Duration) {
+// CallSent records that a call of the given expected duration is sent at now.
+func (d *Delegate) CallSent(now time.Time, expectedDuration time.Duration) {
 	if d.calls == 0 || d.busyUntil.Before(now) {
 		d.busyUntil = now
 	}
-	d.busyUntil = d.busyUntil.Add(cost)
+	d.busyUntil = d.busyUntil.Add(expectedDuration)
 	d.calls++
 }
 
-// CallEnded records that a call ended at now, and whether it succeeded. cost is not
-// used.
-func (d *Delegate) CallEnded(now time.Time, cost time.Duration, ok bool) {
+// CallEnded records that a call ended at now, and whether it succeeded.
+// expectedDuration is not used.
+func (d *Delegate) CallEnded(now time.Time, expectedDuration time.Duration, ok bool) {
 	d.calls = max(0, d.calls-1)
 	if d.calls == 0 {
 		d.busyUntil = now
@@ -51,11 +51,11 @@
 	}
 }
 
-// Choose returns the index of the delegate for a call of the expected duration cost:
+// Choose returns the index of the delegate for a call of the given expected duration:
 // the one with the shortest wait. It returns -1 if every delegate that may take the call
 // has too long a wait or is in backoff.
-func Choose(delegates []*Delegate, now time.Time, cost time.Duration) int {
-	long := cost >= LongCallThreshold
+func Choose(delegates []*Delegate, now time.Time, expectedDuration time.Duration) int {
+	long := expectedDuration >= LongCallThreshold
 	firstAllowed := 0
 	maxBacklog := maxShortBacklog
 	if long {
--- a/internal/cell/engine/advising.go
+++ b/internal/cell/engine/advising.go
@@ -157,20 +157,20 @@
 }
 
 // callAdviser has a delegate call the adviser about workers for s. It reports whether a
-// delegate could take the call. cost is the expected duration of the call.
+// delegate could take the call. expectedDuration is the expected duration of the call.
 func (e *Engine) callAdviser(s *stepState, q *policy.Queue, ask []*worker) bool {
-	cost := q.Advice.CallDuration(len(ask))
-	chosen := e.chooseDelegate(cost)
+	expectedDuration := q.Advice.CallDuration(len(ask))
+	chosen := e.chooseDelegate(expectedDuration)
 	if chosen == nil {
 		return false
 	}
-	chosen.CallSent(e.now, cost)
+	chosen.CallSent(e.now, expectedDuration)
 	s.advice.callsInFlight++
 	names := make([]string, len(ask))
 	for i, w := range ask {
 		names[i] = w.id
 	}
-	e.emit(&AdviceCall{Delegate: chosen.name, Step: s.name, Workers: names, Cost: cost, step: s, sentAt: e.now})
+	e.emit(&AdviceCall{Delegate: chosen.name, Step: s.name, Workers: names, ExpectedDuration: expectedDuration, step: s, sentAt: e.now})
 	return true
 }
 
@@ -315,12 +315,12 @@
 
 // chooseDelegate returns the delegate for a call with the given expected duration, or nil
 // if none can take it.
-func (e *Engine) chooseDelegate(cost time.Duration) *delegate {
+func (e *Engine) chooseDelegate(expectedDuration time.Duration) *delegate {
 	loads := make([]*advice.Delegate, len(e.delegates))
 	for i, d := range e.delegates {
 		loads[i] = &d.Delegate
 	}
-	i := advice.Choose(loads, e.now, cost)
+	i := advice.Choose(loads, e.now, expectedDuration)
 	if i < 0 {
 		return nil
 	}
@@ -337,7 +337,7 @@
 	e.needsPlacement = true
 	for _, d := range e.delegates {
 		if d.name == ev.Call.Delegate {
-			d.CallEnded(e.now, ev.Call.Cost, ev.OK)
+			d.CallEnded(e.now, ev.Call.ExpectedDuration, ev.OK)
 		}
 	}
 	if !ev.OK {
@@ -355,17 +355,17 @@
 			newlyAsked++
 		}
 		s.advice.asked[id] = w.incarnation
-		if t, good := ev.Good[id]; good {
+		if t, good := ev.Tickets[id]; good {
 			s.markGood(id, ticket{value: t, incarnation: w.incarnation, validUntil: e.now.Add(ev.TTL)})
 		}
 	}
-	if newlyAsked > 0 && s.waiting > 0 && ev.Call.Cost >= advice.LongCallThreshold {
+	if newlyAsked > 0 && s.waiting > 0 && ev.Call.ExpectedDuration >= advice.LongCallThreshold {
 		e.markDirty(s) // stores the answer, so that the next leader need not repeat a long call
 	}
 	if newlyAsked == len(ev.Call.Workers) && newlyAsked > 0 {
-		e.updateGoodShare(s.job().queue, float64(len(ev.Good))/float64(newlyAsked))
+		e.updateGoodShare(s.job().queue, float64(len(ev.Tickets))/float64(newlyAsked))
 	}
-	e.log.Debug("adviser call done", "step", s.name, "arm", ev.Call.Delegate, "asked", len(ev.Call.Workers), "good", len(ev.Good), "after_ms", e.msSince(ev.Call.sentAt))
+	e.log.Debug("adviser call done", "step", s.name, "arm", ev.Call.Delegate, "asked", len(ev.Call.Workers), "good", len(ev.Tickets), "after_ms", e.msSince(ev.Call.sentAt))
 }
 
 // goodShareWeight is the weight of one answer in the smoothed share of good workers.
--- a/internal/cell/engine/commands.go
+++ b/internal/cell/engine/commands.go
@@ -98,14 +98,14 @@
 	if ev.Incarnation != 0 && w.incarnation != 0 && ev.Incarnation > w.incarnation {
 		e.newIncarnation(w, ev.Incarnation, "answer to a start")
 	}
-	if ev.Refusal != NoAnswer && ev.Clock > 0 {
+	if ev.Outcome != NoAnswer && ev.Clock > 0 {
 		w.noteClock(ev.Clock, e.now)
 	}
 	if r.ended {
 		return
 	}
 	t := r.task
-	if ev.Refusal == Accepted {
+	if ev.Outcome == Accepted {
 		if r.phase == starting {
 			r.phase = running
 		}
@@ -118,8 +118,8 @@
 		return
 	}
 	e.log.Warn("start not confirmed", "job", t.step.job().id, "task", t.name, "run", r.number, "worker", w.id,
-		"reason", ev.Refusal.String(), "orders", r.startAttempts, "order_ms", e.msSince(r.startSentAt))
-	switch ev.Refusal {
+		"reason", ev.Outcome.String(), "orders", r.startAttempts, "order_ms", e.msSince(r.startSentAt))
+	switch ev.Outcome {
 	case Fenced:
 		e.stepDown("worker " + w.id + " has seen a newer leader")
 	case NoAnswer:
@@ -150,7 +150,7 @@
 		}
 		e.endRun(r, EndedStopped, "", "run number already used")
 	default:
-		e.endRun(r, EndedStopped, "", ev.Refusal.String())
+		e.endRun(r, EndedStopped, "", ev.Outcome.String())
 	}
 }
 
@@ -189,7 +189,7 @@
 		return
 	}
 	w := r.worker
-	switch ev.Refusal {
+	switch ev.Outcome {
 	case Accepted, StaleRun: // StaleRun: this run or a newer one has ended, so the worker no longer has this one
 		if r.stopConfirmedAt.IsZero() {
 			r.stopConfirmedAt = e.now
--- a/internal/cell/engine/types.go
+++ b/internal/cell/engine/types.go
@@ -66,28 +66,28 @@
 	Ended       []RunEnd
 }
 
-// Refusal is the outcome of a command to a worker: Accepted, NoAnswer, or the reason why the
-// worker refused the command.
-type Refusal uint8
+// CommandOutcome is the outcome of a command to a worker: Accepted, NoAnswer, or the
+// reason why the worker refused the command.
+type CommandOutcome uint8
 
 // The outcomes of a command.
 const (
-	Accepted         Refusal = iota
-	NoAnswer                 // no answer in time: the worker may carry out the command, now or later
-	Fenced                   // the worker has seen a newer leader
-	StaleRun                 // this run, or a newer one of the task, has ended on the worker
-	DeadlinePassed           // the deadline in the command had passed
-	NoCapacity               // the run would exceed the worker's capacity
-	BadTicket                // the adviser's ticket is not valid
-	OtherIncarnation         // the command names another incarnation of the worker
-	Unhealthy                // the worker reports that it accepts no work
-	Invalid                  // the command is malformed
+	Accepted         CommandOutcome = iota
+	NoAnswer                        // no answer in time: the worker may carry out the command, now or later
+	Fenced                          // the worker has seen a newer leader
+	StaleRun                        // this run, or a newer one of the task, has ended on the worker
+	DeadlinePassed                  // the deadline in the command had passed
+	NoCapacity                      // the run would exceed the worker's capacity
+	BadTicket                       // the adviser's ticket is not valid
+	OtherIncarnation                // the command names another incarnation of the worker
+	Unhealthy                       // the worker reports that it accepts no work
+	Invalid                         // the command is malformed
 )
 
-var refusalNames = [...]string{"accepted", "unknown", "fenced", "old_run", "too_late", "no_room", "bad_ticket", "other_life", "unhealthy", "invalid"}
+var commandOutcomeNames = [...]string{"accepted", "unknown", "fenced", "old_run", "too_late", "no_room", "bad_ticket", "other_life", "unhealthy", "invalid"}
 
-// String returns the name of r that logs use.
-func (r Refusal) String() string { return refusalNames[r] }
+// String returns the name of o that logs use.
+func (o CommandOutcome) String() string { return commandOutcomeNames[o] }
 
 // AppendOutcome is the known outcome of an append.
 type AppendOutcome uint8
@@ -139,22 +139,22 @@
 	// StartAnswered is the outcome of a Start.
 	StartAnswered struct {
 		Start       *Start
-		Refusal     Refusal
+		Outcome     CommandOutcome
 		Incarnation int64 // incarnation of the worker that answered, zero if unknown
 		Clock       int64 // the worker's clock, in ms
 	}
 	// StopAnswered is the outcome of a Stop.
 	StopAnswered struct {
 		Stop        *Stop
-		Refusal     Refusal
+		Outcome     CommandOutcome
 		Incarnation int64 // incarnation of the worker that answered, zero if unknown
 	}
 	// AdviceAnswered is the outcome of a call to the adviser (AdviceCall).
 	AdviceAnswered struct {
-		Call *AdviceCall
-		Good map[string]string // ticket by worker
-		OK   bool              // the call succeeded
-		TTL  time.Duration     // how long the tickets are valid
+		Call    *AdviceCall
+		Tickets map[string]string // ticket by worker
+		OK      bool              // the call succeeded
+		TTL     time.Duration     // how long the tickets are valid
 	}
 	// Appended is the outcome of an Append.
 	Appended struct {
@@ -212,12 +212,12 @@
 	}
 	// AdviceCall is a call to the adviser about a step, which Delegate makes.
 	AdviceCall struct {
-		Delegate string // name of an instance
-		Step     string
-		Workers  []string
-		Cost     time.Duration // expected duration of the call
-		step     *stepState
-		sentAt   time.Time
+		Delegate         string // name of an instance
+		Step             string
+		Workers          []string
+		ExpectedDuration time.Duration // expected duration of the call
+		step             *stepState
+		sentAt           time.Time
 	}
 	// StepDown reports that another leader has taken over.
 	StepDown struct{ Reason string }
--- a/internal/cell/engine/world_commands_test.go
+++ b/internal/cell/engine/world_commands_test.go
@@ -32,20 +32,20 @@
 	ev := &StartAnswered{Start: a, Incarnation: s.incarnation, Clock: w.now.UnixMilli()}
 	switch {
 	case a.Incarnation != s.incarnation:
-		ev.Refusal = OtherIncarnation
+		ev.Outcome = OtherIncarnation
 		return ev
 	case w.term < s.fence || a.run.worker == nil:
-		ev.Refusal = Fenced
+		ev.Outcome = Fenced
 		return ev
 	case a.Deadline < w.now.UnixMilli():
-		ev.Refusal = DeadlinePassed
+		ev.Outcome = DeadlinePassed
 		return ev
 	}
 	if r := s.runs[a.Task]; r != nil && r.run == a.Run {
 		return ev
 	}
 	if s.endedRuns[a.Task] >= a.Run {
-		ev.Refusal = StaleRun
+		ev.Outcome = StaleRun
 		return ev
 	}
 	if end := time.UnixMilli(a.Deadline); end.After(s.leaseEnd) {
@@ -158,7 +158,7 @@
 func (w *world) handleStop(s *simWorker, a *Stop) any {
 	ev := &StopAnswered{Stop: a, Incarnation: s.incarnation}
 	if a.Incarnation != s.incarnation {
-		ev.Refusal = OtherIncarnation
+		ev.Outcome = OtherIncarnation
 		return ev
 	}
 	s.endedRuns[a.Task] = max(s.endedRuns[a.Task], a.Run)
--- a/internal/cell/engine/world_test.go
+++ b/internal/cell/engine/world_test.go
@@ -379,7 +379,7 @@
 	case *Start:
 		sent := w.now
 		fn := func(s *simWorker) any { return w.handleStart(s, a, sent) }
-		unanswered := &StartAnswered{Start: a, Refusal: NoAnswer}
+		unanswered := &StartAnswered{Start: a, Outcome: NoAnswer}
 		switch {
 		case w.lostStarts > 0:
 			w.lostStarts--
@@ -393,7 +393,7 @@
 			w.sendCommand(e, a.Worker, a.Timeout, fn, unanswered)
 		}
 	case *Stop:
-		w.sendCommand(e, a.Worker, a.Timeout, func(s *simWorker) any { return w.handleStop(s, a) }, &StopAnswered{Stop: a, Refusal: NoAnswer})
+		w.sendCommand(e, a.Worker, a.Timeout, func(s *simWorker) any { return w.handleStop(s, a) }, &StopAnswered{Stop: a, Outcome: NoAnswer})
 	case *Renew:
 		w.handleRenewal(e, a)
 	case *AdviceCall:
@@ -401,7 +401,7 @@
 			w.deliver(e, simTick, &AdviceAnswered{Call: a})
 			return
 		}
-		w.deliver(e, a.Cost, &AdviceAnswered{Call: a, OK: true, TTL: 1500 * time.Millisecond, Good: w.answerAdvice(a)})
+		w.deliver(e, a.ExpectedDuration, &AdviceAnswered{Call: a, OK: true, TTL: 1500 * time.Millisecond, Tickets: w.answerAdvice(a)})
 	case *StepDown:
 		w.t.Fatalf("the engine stepped down: %s", a.Reason)
 	}
--- a/internal/cell/node/actions.go
+++ b/internal/cell/node/actions.go
@@ -143,24 +143,24 @@
 
 // advise calls the adviser, through the delegate that the engine has chosen.
 func (l *leader) advise(a *engine.AdviceCall) {
-	ctx, cancel := context.WithTimeout(l.ctx, a.Cost+adviceMargin)
+	ctx, cancel := context.WithTimeout(l.ctx, a.ExpectedDuration+adviceMargin)
 	defer cancel()
 	l.n.stats.Advice.Inc(1)
 	ev := &engine.AdviceAnswered{Call: a}
 	if a.Delegate == l.n.settings.Instance {
 		good, ttl, err := l.n.ports.Adviser.Advise(ctx, a.Step, a.Workers)
-		ev.Good, ev.TTL, ev.OK = good, ttl, err == nil
+		ev.Tickets, ev.TTL, ev.OK = good, ttl, err == nil
 		l.post(ev)
 		return
 	}
 	var reply AdviseReply
-	args := AdviseArgs{Step: a.Step, Workers: a.Workers, Timeout: a.Cost + adviceMargin}
+	args := AdviseArgs{Step: a.Step, Workers: a.Workers, Timeout: a.ExpectedDuration + adviceMargin}
 	address := l.followerAddress(a.Delegate)
 	if address == "" {
 		l.post(ev) // counts as a failed call
 		return
 	}
 	err := l.n.peers.Get(address).Call(ctx, serviceName+".Advise", &args, &reply)
-	ev.Good, ev.TTL, ev.OK = reply.Good, reply.TTL, err == nil
+	ev.Tickets, ev.TTL, ev.OK = reply.Good, reply.TTL, err == nil
 	l.post(ev)
 }
