--- a/internal/capacity/bytes_bench_test.go
+++ b/internal/capacity/bytes_bench_test.go
@@ -95,7 +95,7 @@
 		return fixedValue(b, float64(entryBytes(b, records...)))
 	}
 	measure(b, "claim_bytes_by_shard", encodedBytes, "shard", []int{1, 28, 256}, func(b *testing.B, n int) float64 {
-		c := wire.Claim{Owner: ownerOf(0)}
+		c := wire.Claim{Owner: instanceRefOf(0)}
 		for s := range n {
 			c.Shards = append(c.Shards, wire.ShardTerm{Shard: model.Shard(s), Term: 12345678})
 		}
@@ -130,7 +130,7 @@
 // loopback: the bytes in both directions and the processor time of both ends. The
 // answering end uses very little of it.
 func BenchmarkCapacityExchange(b *testing.B) {
-	lease := platform.LeaseRef{Holder: ownerOf(0).Instance, Incarnation: ownerOf(0).Incarnation, Term: 12345678}
+	lease := platform.LeaseRef{Holder: instanceRefOf(0).Instance, Incarnation: instanceRefOf(0).Incarnation, Term: 12345678}
 	renew := platform.RenewRequest{Lease: lease, Duration: timing.WorkerLease, Since: 123456, Wait: timing.WorkerLease / 4}
 	measure(b, "renewal_bytes_by_outcome", encodedBytes, "outcome", []int{0, 4, 16}, func(b *testing.B, n int) float64 {
 		return newResponder(b, granted(n)).bytesPerCall(b, func(e *responder) error { return e.renew(renew) })
--- a/internal/capacity/caller_bench_test.go
+++ b/internal/capacity/caller_bench_test.go
@@ -43,7 +43,7 @@
 
 func serveCallers(tb testing.TB, q *stubCore) *httptest.Server {
 	s := httptest.NewServer(httpapi.New(httpapi.Config{
-		Gateway: q, Status: q, InstanceID: ownerOf(0).Instance, Logger: slog.New(slog.DiscardHandler),
+		Gateway: q, Status: q, InstanceID: instanceRefOf(0).Instance, Logger: slog.New(slog.DiscardHandler),
 	}))
 	tb.Cleanup(s.Close)
 	return s
--- a/internal/capacity/cell_test.go
+++ b/internal/capacity/cell_test.go
@@ -41,10 +41,10 @@
 		first = 1
 	}
 	index := make(map[model.InstanceID]int)
-	var members []wire.Owner
+	var members []wire.InstanceRef
 	for i := first; i < z.instances; i++ {
-		members = append(members, ownerOf(i))
-		index[ownerOf(i).Instance] = i
+		members = append(members, instanceRefOf(i))
+		index[instanceRefOf(i).Instance] = i
 	}
 	for s := range owners {
 		owner, _ := ownership.Target(model.Shard(s), members)
@@ -66,15 +66,15 @@
 	answers      int
 }
 
-func ownerOf(i int) wire.Owner {
-	return wire.Owner{Instance: model.InstanceID(fmt.Sprintf("entry-%04d", i)), Incarnation: 1764800000000000000}
+func instanceRefOf(i int) wire.InstanceRef {
+	return wire.InstanceRef{Instance: model.InstanceID(fmt.Sprintf("entry-%04d", i)), Incarnation: 1764800000000000000}
 }
 
 func teamOf(i int) model.TeamID { return model.TeamID(fmt.Sprintf("team-%04d", i)) }
 
 func instanceOf(i int) platform.Instance {
 	return platform.Instance{
-		ID: ownerOf(i).Instance, Incarnation: ownerOf(i).Incarnation,
+		ID: instanceRefOf(i).Instance, Incarnation: instanceRefOf(i).Incarnation,
 		PeerAddr: "10.20.30.40:7400", HTTPAddr: "10.20.30.40:7480",
 		Location: model.Location{Region: "region-1", Zone: fmt.Sprintf("zone-%d", i%9), Rack: fmt.Sprintf("rack-%04d", i/6)},
 	}
@@ -153,7 +153,7 @@
 	var records []wire.Record
 	for i, list := range shards {
 		if len(list) > 0 {
-			records = append(records, wire.Claim{Owner: ownerOf(i), Shards: list})
+			records = append(records, wire.Claim{Owner: instanceRefOf(i), Shards: list})
 		}
 	}
 	return records
@@ -194,7 +194,7 @@
 	}
 	for j := range c.size.instances {
 		if j != i {
-			h.Reachable = append(h.Reachable, ownerOf(j))
+			h.Reachable = append(h.Reachable, instanceRefOf(j))
 		}
 	}
 	for t := range c.size.teams {
@@ -211,7 +211,7 @@
 func (c *cell) deliverHeartbeats() {
 	c.heartbeatSeq++
 	for i := 1; i < c.size.instances; i++ {
-		from := ownerOf(i)
+		from := instanceRefOf(i)
 		for _, a := range c.step(event.PeerMessage{From: from, Message: c.heartbeat(i)}) {
 			if s, ok := a.(event.Send); ok && s.To == from.Instance {
 				c.step(event.PeerMessage{From: from, Message: c.coverage(i)})
--- a/internal/capacity/core_bench_test.go
+++ b/internal/capacity/core_bench_test.go
@@ -29,7 +29,7 @@
 		return threadTimePerOp(b, func() {
 			m, err := wire.DecodeMessage(data)
 			require.NoError(b, err)
-			c.step(event.PeerMessage{From: ownerOf(1), Message: m})
+			c.step(event.PeerMessage{From: instanceRefOf(1), Message: m})
 		})
 	}
 	measure(b, "heartbeat_take_ns_by_team", nanoseconds, "team", []int{6, 60, 170}, func(b *testing.B, n int) float64 {
@@ -123,7 +123,7 @@
 	measure(b, "renewal_take_ns_by_outcome", nanoseconds, "outcome", []int{0, 4, 16}, func(b *testing.B, n int) float64 {
 		c := newCell(b, cellSize{instances: 1, workers: 10, teams: 1})
 		w := workerOf(0, c.size.slots)
-		lease := platform.LeaseRef{Holder: ownerOf(0).Instance, Incarnation: ownerOf(0).Incarnation, Term: c.offset}
+		lease := platform.LeaseRef{Holder: instanceRefOf(0).Instance, Incarnation: instanceRefOf(0).Incarnation, Term: c.offset}
 		serial := 0
 		return threadTimePerOp(b, func() {
 			var outcomes []model.Outcome
@@ -201,7 +201,7 @@
 		owners := c.size.shardOwners()
 		moved := model.Shard(slices.Index(owners[:], 1))
 		return threadTimePerOp(b, func() {
-			e := c.nextEntry(wire.Claim{Owner: ownerOf(1 + int(c.offset)%2), Shards: []wire.ShardTerm{{Shard: moved, Term: term}}})
+			e := c.nextEntry(wire.Claim{Owner: instanceRefOf(1 + int(c.offset)%2), Shards: []wire.ShardTerm{{Shard: moved, Term: term}}})
 			term = c.offset
 			c.step(e)
 		})
@@ -215,7 +215,7 @@
 	for i := range n {
 		id := model.TaskID(fmt.Sprintf("team-0000/request-%d/0", i))
 		d := wire.Dispatch{Task: taskOf(id, teamOf(0)), Term: c.offset, Attempt: 1}
-		for _, a := range c.step(event.PeerMessage{From: ownerOf(1), Message: d}) {
+		for _, a := range c.step(event.PeerMessage{From: instanceRefOf(1), Message: d}) {
 			if s, ok := a.(event.Start); ok {
 				c.handleAction(s)
 				ids = append(ids, id)
--- a/internal/capacity/exchange_test.go
+++ b/internal/capacity/exchange_test.go
@@ -40,7 +40,7 @@
 func granted(n int) platform.RenewReply {
 	r := platform.RenewReply{
 		Granted: true, Incarnation: 1764800000000000000, Uptime: time.Hour, Seq: 123456,
-		Current: platform.LeaseRef{Holder: ownerOf(0).Instance, Incarnation: ownerOf(0).Incarnation, Term: 12345678},
+		Current: platform.LeaseRef{Holder: instanceRefOf(0).Instance, Incarnation: instanceRefOf(0).Incarnation, Term: 12345678},
 	}
 	for i := range n {
 		r.Finished = append(r.Finished, outcomeOf(model.TaskID(fmt.Sprintf("team-0000/request-%010d/0", i))))
--- a/internal/capacity/memory_bench_test.go
+++ b/internal/capacity/memory_bench_test.go
@@ -51,7 +51,7 @@
 		return memory(b, func() *event.Env {
 			env := event.NewEnv(instanceOf(0), timing, 1)
 			for i := range n {
-				env.Note(event.Note{Kind: "shard-moved", Subject: fmt.Sprintf("shard/%d", i%256), Detail: fmt.Sprintf("%s -> %s", ownerOf(i%99).Instance, ownerOf(i%98).Instance)})
+				env.Note(event.Note{Kind: "shard-moved", Subject: fmt.Sprintf("shard/%d", i%256), Detail: fmt.Sprintf("%s -> %s", instanceRefOf(i%99).Instance, instanceRefOf(i%98).Instance)})
 				env.Begin(0)
 			}
 			return env
--- a/internal/core/catchup.go
+++ b/internal/core/catchup.go
@@ -22,12 +22,12 @@
 // aheadPeer is the peer with the latest heartbeat that showed a higher applied
 // offset than that of this core.
 type aheadPeer struct {
-	peer    wire.Owner
+	peer    wire.InstanceRef
 	applied uint64
 }
 
 // onHeartbeat stores the sender if it is ahead, and catches up if that is needed.
-func (r *logReader) onHeartbeat(from wire.Owner, heartbeat wire.Heartbeat) {
+func (r *logReader) onHeartbeat(from wire.InstanceRef, heartbeat wire.Heartbeat) {
 	if heartbeat.Applied >= r.next {
 		r.ahead = aheadPeer{peer: from, applied: heartbeat.Applied}
 	}
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-func (c *cell) send(from wire.Owner, a event.Send) {
+func (c *cell) send(from wire.InstanceRef, a event.Send) {
 	if c.dropped != nil && c.dropped(a.Message) || c.cores[a.To] == nil {
 		return
 	}
--- a/internal/core/logreader.go
+++ b/internal/core/logreader.go
@@ -106,7 +106,7 @@
 
 // serveEntries sends entries to a peer that requests them, or the state if the first
 // one is no longer retained.
-func (r *logReader) serveEntries(to wire.Owner, m wire.FetchLog) {
+func (r *logReader) serveEntries(to wire.InstanceRef, m wire.FetchLog) {
 	if m.From < r.next && (len(r.recent) == 0 || m.From < r.recent[0].Offset) {
 		r.sendSnapshot(to)
 		return
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -77,6 +77,6 @@
 }
 
 // sendSnapshot sends this core's state to a peer.
-func (r *logReader) sendSnapshot(to wire.Owner) {
+func (r *logReader) sendSnapshot(to wire.InstanceRef) {
 	r.env.Send(to.Instance, wire.SnapshotState{Snapshot: r.snapshots.TakeSnapshot()})
 }
--- a/internal/core/restore_test.go
+++ b/internal/core/restore_test.go
@@ -15,7 +15,7 @@
 
 // drawRecord draws a change, a claim or a handover. Most of them take effect.
 func drawRecord(t *rapid.T, c *cell, i int) wire.Record {
-	owner := wire.Owner{Instance: model.InstanceID(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "owner")), Incarnation: 1}
+	owner := wire.InstanceRef{Instance: model.InstanceID(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "owner")), Incarnation: 1}
 	shard := model.Shard(rapid.IntRange(0, 3).Draw(t, "shard"))
 	entry := c.table("full")[shard]
 	moved := []wire.ShardTerm{{Shard: shard, Term: entry.Term * uint64(rapid.IntRange(0, 1).Draw(t, "current"))}}
--- a/internal/event/env.go
+++ b/internal/event/env.go
@@ -43,8 +43,8 @@
 }
 
 // Owner returns this instance in its current incarnation.
-func (e *Env) Owner() wire.Owner {
-	return wire.Owner{Instance: e.Self.ID, Incarnation: e.Self.Incarnation}
+func (e *Env) Owner() wire.InstanceRef {
+	return wire.InstanceRef{Instance: e.Self.ID, Incarnation: e.Self.Incarnation}
 }
 
 // Now returns the time of the current step on this instance's monotonic clock.
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -41,14 +41,14 @@
 
 // PeerMessage carries a message from another instance.
 type PeerMessage struct {
-	From    wire.Owner
+	From    wire.InstanceRef
 	Message wire.Message
 }
 
 // PeerDown reports that the connection to a peer is lost, or that a message to it was
 // dropped because the connection's queue was full. Messages recently sent to the peer
 // may not have arrived.
-type PeerDown struct{ Peer wire.Owner }
+type PeerDown struct{ Peer wire.InstanceRef }
 
 // RenewDone is the result of a Renew. Full is that of the request. Failed means that
 // there is no reply.
--- a/internal/node/io.go
+++ b/internal/node/io.go
@@ -20,7 +20,7 @@
 		h.n.cfg.Logger.Warn("dropped a peer message that could not be decoded", "from", from, "error", err)
 		return
 	}
-	h.n.post(event.PeerMessage{From: wire.Owner{Instance: from, Incarnation: inc}, Message: m})
+	h.n.post(event.PeerMessage{From: wire.InstanceRef{Instance: from, Incarnation: inc}, Message: m})
 }
 
 // PeerUp implements transport.Handler.
@@ -35,7 +35,7 @@
 	h.n.mu.Lock()
 	delete(h.n.connectedPeers, id)
 	h.n.mu.Unlock()
-	h.n.post(event.PeerDown{Peer: wire.Owner{Instance: id, Incarnation: inc}})
+	h.n.post(event.PeerDown{Peer: wire.InstanceRef{Instance: id, Incarnation: inc}})
 }
 
 // readLog polls the log from its first entry on and posts each result, including an
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -228,7 +228,7 @@
 	}
 	n.stats.unsentMessages.Inc(1)
 	if inc, up := n.incarnation(a.To); up {
-		n.postAsync(event.PeerDown{Peer: wire.Owner{Instance: a.To, Incarnation: inc}})
+		n.postAsync(event.PeerDown{Peer: wire.InstanceRef{Instance: a.To, Incarnation: inc}})
 	}
 }
 
--- a/internal/replay/events.go
+++ b/internal/replay/events.go
@@ -16,7 +16,7 @@
 // peerMessage is the recorded form of event.PeerMessage. Message is encoded as it
 // is between instances.
 type peerMessage struct {
-	From    wire.Owner
+	From    wire.InstanceRef
 	Message []byte
 }
 
--- a/internal/service/config/config.go
+++ b/internal/service/config/config.go
@@ -101,7 +101,7 @@
 }
 
 // OnMessage handles what peers report about the log and withdrawn keys.
-func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
+func (s *Service) OnMessage(from wire.InstanceRef, m wire.Message) {
 	switch m := m.(type) {
 	case wire.Heartbeat:
 		s.onHeartbeat(from, m)
@@ -110,7 +110,7 @@
 	}
 }
 
-func (s *Service) onHeartbeat(from wire.Owner, heartbeat wire.Heartbeat) {
+func (s *Service) onHeartbeat(from wire.InstanceRef, heartbeat wire.Heartbeat) {
 	s.peers[from.Instance] = peerView{
 		applied: heartbeat.Applied, reachedAt: s.env.Now() - heartbeat.LogAge, receivedAt: s.env.Now(),
 	}
--- a/internal/service/gateway/gateway.go
+++ b/internal/service/gateway/gateway.go
@@ -47,15 +47,15 @@
 
 // Members reports which instances are live.
 type Members interface {
-	IsLive(wire.Owner) bool
-	Live() []wire.Owner
+	IsLive(wire.InstanceRef) bool
+	Live() []wire.InstanceRef
 	// Leaving reports whether this instance is leaving the cell.
 	Leaving() bool
 }
 
 // Coordinator serves requests whose shard this instance owns.
 type Coordinator interface {
-	Serve(from wire.Owner, f wire.Forward)
+	Serve(from wire.InstanceRef, f wire.Forward)
 }
 
 // Ledger describes the workers held by this instance.
@@ -83,7 +83,7 @@
 type pending struct {
 	forward  wire.Forward
 	shard    model.Shard
-	sentTo   wire.Owner
+	sentTo   wire.InstanceRef
 	sent     bool // it may have reached an owner
 	retryAt  time.Duration
 	deadline time.Duration
@@ -257,7 +257,7 @@
 }
 
 // OnMessage handles replies from coordinators and requests forwarded by other gateways.
-func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
+func (s *Service) OnMessage(from wire.InstanceRef, m wire.Message) {
 	switch m := m.(type) {
 	case wire.Reply:
 		s.OnReply(from, m)
@@ -269,7 +269,7 @@
 // OnReply returns a coordinator's answer to the caller. It drops an answer to a
 // request other than the handle's, or from an instance other than the one that the
 // request was last sent to.
-func (s *Service) OnReply(from wire.Owner, m wire.Reply) {
+func (s *Service) OnReply(from wire.InstanceRef, m wire.Reply) {
 	p, ok := s.pending[m.Handle]
 	if !ok || p.sentTo != from || m.Answer.ID != p.forward.Request.ID {
 		return
@@ -284,7 +284,7 @@
 
 // OnPeerDown schedules a retry, under the same id, of the requests that were sent over
 // a lost connection.
-func (s *Service) OnPeerDown(peer wire.Owner) {
+func (s *Service) OnPeerDown(peer wire.InstanceRef) {
 	for handle, p := range s.pending {
 		if p.sentTo == peer {
 			s.scheduleRetry(handle, p, s.env.Now()+rerouteDelay)
@@ -369,7 +369,7 @@
 // Cell is this instance's view of the cell, sent to operators as JSON.
 type Cell struct {
 	Instance model.InstanceID         `json:"instance"`
-	Live     []wire.Owner             `json:"live"`
+	Live     []wire.InstanceRef       `json:"live"`
 	Shards   map[model.InstanceID]int `json:"shards"`
 	Workers  []model.WorkerID         `json:"workers"`
 	Covered  int                      `json:"covered"` // number of workers in the coverage
--- a/internal/service/handover/handover.go
+++ b/internal/service/handover/handover.go
@@ -31,9 +31,9 @@
 
 // Members provides the members that may own shards.
 type Members interface {
-	Eligible() []wire.Owner
+	Eligible() []wire.InstanceRef
 	Leaving() bool
-	IsLive(wire.Owner) bool
+	IsLive(wire.InstanceRef) bool
 }
 
 // Memory exports and imports an owner's records of requests.
@@ -56,7 +56,7 @@
 	current        *transfer
 	lastTransferID uint64
 	nextTransferAt time.Duration
-	eligible       []wire.Owner
+	eligible       []wire.InstanceRef
 	eligibleSince  time.Duration // when the eligible members last changed
 	drainStartedAt time.Duration // when this instance started to leave, 0 before
 }
@@ -72,7 +72,7 @@
 
 type transfer struct {
 	id       uint64
-	to       wire.Owner
+	to       wire.InstanceRef
 	shards   []wire.ShardTerm
 	stage    stage
 	appendID uint64
@@ -149,7 +149,7 @@
 // nextTransfer returns the shards to hand over next, at most maxShards, and their new
 // owner. Shards are handed over when their target is another member; while this
 // instance is leaving, that applies to all of them.
-func (s *Service) nextTransfer(now time.Duration) (to wire.Owner, shards []wire.ShardTerm) {
+func (s *Service) nextTransfer(now time.Duration) (to wire.InstanceRef, shards []wire.ShardTerm) {
 	stable := now-s.eligibleSince >= stableWindow && now >= startupDelay
 	if !s.members.Leaving() && !stable {
 		return to, nil
@@ -173,7 +173,7 @@
 	return to, shards
 }
 
-func (s *Service) send(to wire.Owner, shards []wire.ShardTerm) {
+func (s *Service) send(to wire.InstanceRef, shards []wire.ShardTerm) {
 	s.lastTransferID++
 	s.current = &transfer{id: s.lastTransferID, to: to, shards: shards, deadline: s.env.Now() + sendTimeout}
 	memory, entries := s.records.ExportRecords(shards)
@@ -182,7 +182,7 @@
 }
 
 // OnMessage handles records sent by owners and confirmations from next owners.
-func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
+func (s *Service) OnMessage(from wire.InstanceRef, m wire.Message) {
 	switch m := m.(type) {
 	case wire.Memory:
 		s.records.ImportRecords(m)
@@ -192,7 +192,7 @@
 	}
 }
 
-func (s *Service) onMemoryKept(from wire.Owner, m wire.MemoryKept) {
+func (s *Service) onMemoryKept(from wire.InstanceRef, m wire.MemoryKept) {
 	t := s.current
 	if t == nil || t.stage != stageSending || t.id != m.ID || t.to != from {
 		return
--- a/internal/service/ledger/dispatch.go
+++ b/internal/service/ledger/dispatch.go
@@ -17,7 +17,7 @@
 )
 
 // OnMessage serves the messages of other instances.
-func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
+func (s *Service) OnMessage(from wire.InstanceRef, m wire.Message) {
 	switch m := m.(type) {
 	case wire.Heartbeat:
 		s.reportMissed(from)
--- a/internal/service/ledger/ledger.go
+++ b/internal/service/ledger/ledger.go
@@ -32,7 +32,7 @@
 
 // Coordinator receives the states of tasks whose request shard this instance owns.
 type Coordinator interface {
-	OnTaskState(from wire.Owner, st wire.TaskState)
+	OnTaskState(from wire.InstanceRef, st wire.TaskState)
 }
 
 // Limits decides how many tasks of a team may start on the workers held here.
@@ -261,11 +261,11 @@
 }
 
 // OnPeerDown notes that a peer may have missed task states.
-func (s *Service) OnPeerDown(peer wire.Owner) { s.missedStates[peer.Instance] = true }
+func (s *Service) OnPeerDown(peer wire.InstanceRef) { s.missedStates[peer.Instance] = true }
 
 // reportMissed sends a peer that is reachable again the state of every task whose
 // request it coordinates.
-func (s *Service) reportMissed(peer wire.Owner) {
+func (s *Service) reportMissed(peer wire.InstanceRef) {
 	if !s.missedStates[peer.Instance] {
 		return
 	}
--- a/internal/service/limits/escrow.go
+++ b/internal/service/limits/escrow.go
@@ -13,7 +13,7 @@
 // one term of the shard.
 type escrow struct {
 	term   uint64
-	grants map[wire.Owner]grant
+	grants map[wire.InstanceRef]grant
 }
 
 // grant describes the grants to one member. Any grant that the member has not
@@ -65,7 +65,7 @@
 
 // memberLoad is what the shard owner knows of the tasks of a team on one member.
 type memberLoad struct {
-	owner wire.Owner
+	ref wire.InstanceRef
 	// bound is the highest number of tasks that the member may be running, now or after
 	// a grant that it may still receive.
 	bound int64
@@ -100,17 +100,17 @@
 		case target > m.bound && free > 0:
 			raise := min(target-m.bound, free)
 			free -= raise
-			s.sendGrant(team, e, m.owner, m.bound+raise)
+			s.sendGrant(team, e, m.ref, m.bound+raise)
 		case target < m.bound-slack:
-			s.sendGrant(team, e, m.owner, target)
-		case e.unconfirmed(m.owner, s.env.Now()):
-			s.sendGrant(team, e, m.owner, e.grants[m.owner].last)
+			s.sendGrant(team, e, m.ref, target)
+		case e.unconfirmed(m.ref, s.env.Now()):
+			s.sendGrant(team, e, m.ref, e.grants[m.ref].last)
 		}
 	}
 }
 
 // unconfirmed reports whether the last grant to a member may have been lost.
-func (e *escrow) unconfirmed(to wire.Owner, now time.Duration) bool {
+func (e *escrow) unconfirmed(to wire.InstanceRef, now time.Duration) bool {
 	g := e.grants[to]
 	return g.sentAt > 0 && now-g.sentAt >= regrantTimeout
 }
@@ -146,7 +146,7 @@
 func (s *Service) escrowOf(team model.TeamID, term uint64) *escrow {
 	e, ok := s.escrows[team]
 	if !ok || e.term != term {
-		e = &escrow{term: term, grants: make(map[wire.Owner]grant)}
+		e = &escrow{term: term, grants: make(map[wire.InstanceRef]grant)}
 		s.escrows[team] = e
 	}
 	return e
@@ -157,13 +157,13 @@
 // a grant of the previous owner.
 func (s *Service) memberLoads(team model.TeamID, e *escrow) ([]memberLoad, bool) {
 	var list []memberLoad
-	for _, o := range s.members.Live() {
-		load, applied, ok := s.report(o, team)
+	for _, ref := range s.members.Live() {
+		load, applied, ok := s.report(ref, team)
 		if !ok || applied < e.term {
 			return nil, false
 		}
-		slots := s.taskSlots(o)
-		list = append(list, memberLoad{owner: o, bound: bound(load, e, o), need: min(load.Wanted, slots), slots: slots})
+		slots := s.taskSlots(ref)
+		list = append(list, memberLoad{ref: ref, bound: bound(load, e, ref), need: min(load.Wanted, slots), slots: slots})
 	}
 	return list, true
 }
@@ -171,12 +171,12 @@
 // report returns a member's last load of a team and the log offset that it had applied.
 // It returns false when the member has sent no heartbeat in its current incarnation
 // or its coverage does not match the heartbeat.
-func (s *Service) report(o wire.Owner, team model.TeamID) (load wire.TeamLoad, applied uint64, ok bool) {
-	if o == s.env.Owner() {
+func (s *Service) report(ref wire.InstanceRef, team model.TeamID) (load wire.TeamLoad, applied uint64, ok bool) {
+	if ref == s.env.Owner() {
 		return s.load(team), s.ownership.Applied(), true
 	}
-	m, ok := s.members.Member(o.Instance)
-	if !ok || m.Owner != o || m.Coverage.Version != m.Heartbeat.Coverage {
+	m, ok := s.members.Member(ref.Instance)
+	if !ok || m.Owner != ref || m.Coverage.Version != m.Heartbeat.Coverage {
 		return wire.TeamLoad{}, 0, false
 	}
 	for _, l := range m.Heartbeat.Teams {
@@ -191,14 +191,14 @@
 // its running tasks, the ceiling that it reported and, unless it reported the last
 // grant, the highest unconfirmed grant. When the member reported the last grant, bound
 // marks all grants to it as confirmed.
-func bound(load wire.TeamLoad, e *escrow, o wire.Owner) int64 {
+func bound(load wire.TeamLoad, e *escrow, ref wire.InstanceRef) int64 {
 	b := max(load.Running, load.Ceiling)
-	g, sent := e.grants[o]
+	g, sent := e.grants[ref]
 	if !sent {
 		return b
 	}
 	if load.GrantTerm == e.term && load.GrantSeq == g.seq {
-		e.grants[o] = grant{seq: g.seq}
+		e.grants[ref] = grant{seq: g.seq}
 		return b
 	}
 	return max(b, g.peak)
@@ -206,7 +206,7 @@
 
 // sendGrant sends a ceiling to a member, or applies it directly when the member is
 // this instance.
-func (s *Service) sendGrant(team model.TeamID, e *escrow, to wire.Owner, ceiling int64) {
+func (s *Service) sendGrant(team model.TeamID, e *escrow, to wire.InstanceRef, ceiling int64) {
 	g := e.grants[to]
 	g = grant{seq: g.seq + 1, peak: max(g.peak, ceiling), last: ceiling, sentAt: s.env.Now()}
 	e.grants[to] = g
@@ -228,8 +228,8 @@
 // covers. Any of them may be running tasks of any team.
 func (s *Service) uncovered() int64 {
 	covered := make(map[model.WorkerID]bool)
-	for _, o := range s.members.Live() {
-		for _, id := range s.coverageOf(o).Workers {
+	for _, ref := range s.members.Live() {
+		for _, id := range s.coverageOf(ref).Workers {
 			covered[id] = true
 		}
 	}
@@ -242,11 +242,11 @@
 	return slots
 }
 
-func (s *Service) coverageOf(o wire.Owner) wire.Coverage {
-	if o == s.env.Owner() {
+func (s *Service) coverageOf(ref wire.InstanceRef) wire.Coverage {
+	if ref == s.env.Owner() {
 		return s.ledger.Coverage()
 	}
-	if m, ok := s.members.Member(o.Instance); ok {
+	if m, ok := s.members.Member(ref.Instance); ok {
 		return m.Coverage
 	}
 	return wire.Coverage{}
--- a/internal/service/limits/limits.go
+++ b/internal/service/limits/limits.go
@@ -65,7 +65,7 @@
 
 // Members provides the live members and their last reports.
 type Members interface {
-	Live() []wire.Owner
+	Live() []wire.InstanceRef
 	Member(model.InstanceID) (*membership.Member, bool)
 	Majority() bool
 }
@@ -159,7 +159,7 @@
 }
 
 // OnMessage applies grants.
-func (s *Service) OnMessage(_ wire.Owner, m wire.Message) {
+func (s *Service) OnMessage(_ wire.InstanceRef, m wire.Message) {
 	if g, ok := m.(wire.Grant); ok {
 		s.applyGrant(g)
 	}
@@ -219,10 +219,10 @@
 }
 
 // taskSlots returns the number of task slots on the workers that a member covers.
-func (s *Service) taskSlots(o wire.Owner) int64 {
+func (s *Service) taskSlots(ref wire.InstanceRef) int64 {
 	listed := s.ledger.ListedWorkers()
 	var slots int64
-	for _, id := range s.coverageOf(o).Workers {
+	for _, id := range s.coverageOf(ref).Workers {
 		if w := listed[id]; !w.Leaving {
 			slots += w.Capacity.Slots
 		}
--- a/internal/service/membership/membership.go
+++ b/internal/service/membership/membership.go
@@ -19,7 +19,7 @@
 // Member is what this instance knows of another one. Owner identifies the other
 // instance and its incarnation.
 type Member struct {
-	Owner           wire.Owner
+	Owner           wire.InstanceRef
 	Heartbeat       wire.Heartbeat
 	LastHeartbeatAt time.Duration
 	Coverage        wire.Coverage
@@ -71,7 +71,7 @@
 }
 
 // OnMessage handles heartbeats and coverage.
-func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
+func (s *Service) OnMessage(from wire.InstanceRef, m wire.Message) {
 	switch m := m.(type) {
 	case wire.Heartbeat:
 		s.onHeartbeat(from, m)
@@ -80,7 +80,7 @@
 	}
 }
 
-func (s *Service) onHeartbeat(from wire.Owner, heartbeat wire.Heartbeat) {
+func (s *Service) onHeartbeat(from wire.InstanceRef, heartbeat wire.Heartbeat) {
 	member, ok := s.members[from.Instance]
 	if ok && from.Incarnation < member.Owner.Incarnation {
 		return
@@ -104,7 +104,7 @@
 	}
 }
 
-func (s *Service) onCoverage(from wire.Owner, c wire.Coverage) {
+func (s *Service) onCoverage(from wire.InstanceRef, c wire.Coverage) {
 	m, ok := s.members[from.Instance]
 	if ok && m.Owner == from && c.Version > m.Coverage.Version {
 		m.Coverage = c
@@ -159,15 +159,15 @@
 }
 
 // unreachableForMajority reports whether more than half of the members reachable
-// from here, this instance included, cannot reach o.
-func (s *Service) unreachableForMajority(o wire.Owner) bool {
+// from here, this instance included, cannot reach ref.
+func (s *Service) unreachableForMajority(ref wire.InstanceRef) bool {
 	reachable, cannotReach := 1, 1
 	for _, m := range s.members {
 		if m.dead || s.unreachable(m) {
 			continue
 		}
 		reachable++
-		if !slices.Contains(m.Heartbeat.Reachable, o) {
+		if !slices.Contains(m.Heartbeat.Reachable, ref) {
 			cannotReach++
 		}
 	}
@@ -183,18 +183,18 @@
 }
 
 // reachable returns the members that this instance can reach, sorted.
-func (s *Service) reachable() []wire.Owner {
-	var owners []wire.Owner
+func (s *Service) reachable() []wire.InstanceRef {
+	var refs []wire.InstanceRef
 	for _, m := range s.members {
 		if !m.dead && !s.unreachable(m) {
-			owners = append(owners, m.Owner)
+			refs = append(refs, m.Owner)
 		}
 	}
-	slices.SortFunc(owners, compareOwners)
-	return owners
+	slices.SortFunc(refs, compareRefs)
+	return refs
 }
 
-func compareOwners(a, b wire.Owner) int {
+func compareRefs(a, b wire.InstanceRef) int {
 	return cmp.Or(cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
@@ -202,24 +202,24 @@
 
 // Live returns the members that do not count as dead, this instance included,
 // sorted.
-func (s *Service) Live() []wire.Owner {
-	live := []wire.Owner{s.env.Owner()}
+func (s *Service) Live() []wire.InstanceRef {
+	live := []wire.InstanceRef{s.env.Owner()}
 	for _, m := range s.members {
 		if !m.dead {
 			live = append(live, m.Owner)
 		}
 	}
-	slices.SortFunc(live, compareOwners)
+	slices.SortFunc(live, compareRefs)
 	return live
 }
 
 // Eligible returns the live members that may be given shards: those that are not
 // leaving according to the instance list or their heartbeats.
-func (s *Service) Eligible() []wire.Owner {
-	var eligible []wire.Owner
-	for _, o := range s.Live() {
-		if !s.isLeaving(o.Instance) {
-			eligible = append(eligible, o)
+func (s *Service) Eligible() []wire.InstanceRef {
+	var eligible []wire.InstanceRef
+	for _, ref := range s.Live() {
+		if !s.isLeaving(ref.Instance) {
+			eligible = append(eligible, ref)
 		}
 	}
 	return eligible
@@ -236,14 +236,14 @@
 	return ok && m.Heartbeat.Leaving
 }
 
-// IsLive reports whether o counts as live. An instance from which no heartbeat was
+// IsLive reports whether ref counts as live. An instance from which no heartbeat was
 // ever received does not.
-func (s *Service) IsLive(o wire.Owner) bool {
-	if o == s.env.Owner() {
+func (s *Service) IsLive(ref wire.InstanceRef) bool {
+	if ref == s.env.Owner() {
 		return true
 	}
-	m, ok := s.members[o.Instance]
-	return ok && m.Owner == o && !m.dead
+	m, ok := s.members[ref.Instance]
+	return ok && m.Owner == ref && !m.dead
 }
 
 // Majority reports whether this instance can reach more than half of the listed
--- a/internal/service/ownership/ownership.go
+++ b/internal/service/ownership/ownership.go
@@ -21,14 +21,14 @@
 // ShardOwner is the table entry of one shard. Term is 0 for a shard that has never had an
 // owner.
 type ShardOwner struct {
-	Owner wire.Owner
+	Owner wire.InstanceRef
 	Term  uint64
 }
 
 // Members provides the members of the cell.
 type Members interface {
-	IsLive(o wire.Owner) bool
-	Eligible() []wire.Owner
+	IsLive(ref wire.InstanceRef) bool
+	Eligible() []wire.InstanceRef
 	Majority() bool
 	Leaving() bool
 }
@@ -98,7 +98,7 @@
 
 // reassign gives a shard a new owner if it is still at the term that the record
 // replaces. Terms only increase, because they are log offsets.
-func (s *Service) reassign(st wire.ShardTerm, to wire.Owner, offset uint64, handedOver bool) {
+func (s *Service) reassign(st wire.ShardTerm, to wire.InstanceRef, offset uint64, handedOver bool) {
 	if int(st.Shard) >= len(s.table) || s.table[st.Shard].Term != st.Term {
 		return
 	}
@@ -181,8 +181,8 @@
 // Target returns the member that is to own a shard. It uses rendezvous hashing, so
 // that few shards move when a member joins or leaves. It returns false when there are
 // no members.
-func Target(shard model.Shard, members []wire.Owner) (wire.Owner, bool) {
-	var best wire.Owner
+func Target(shard model.Shard, members []wire.InstanceRef) (wire.InstanceRef, bool) {
+	var best wire.InstanceRef
 	var highest uint64
 	for _, m := range members {
 		h := xxhash.Sum64String(string(m.Instance) + "#" + string(rune(shard)))
--- a/internal/service/ownership/snapshot.go
+++ b/internal/service/ownership/snapshot.go
@@ -16,7 +16,7 @@
 
 type shardSnapshot struct {
 	_     struct{} `cbor:",toarray"`
-	Owner wire.Owner
+	Owner wire.InstanceRef
 	Term  uint64
 }
 
--- a/internal/service/requests/dispatch.go
+++ b/internal/service/requests/dispatch.go
@@ -63,8 +63,8 @@
 // here.
 func (s *Service) usageElsewhere(team model.TeamID) model.Resources {
 	usage := s.ledger.Usage(team)
-	for _, o := range s.members.Live() {
-		m, ok := s.members.Member(o.Instance)
+	for _, ref := range s.members.Live() {
+		m, ok := s.members.Member(ref.Instance)
 		if !ok {
 			continue
 		}
@@ -83,15 +83,15 @@
 
 // refreshFreeEstimates replaces the estimates of instances that sent a newer heartbeat.
 func (s *Service) refreshFreeEstimates() {
-	for _, o := range s.members.Live() {
-		m, ok := s.members.Member(o.Instance)
+	for _, ref := range s.members.Live() {
+		m, ok := s.members.Member(ref.Instance)
 		if !ok {
 			continue
 		}
-		e, known := s.freeEstimates[o.Instance]
+		e, known := s.freeEstimates[ref.Instance]
 		if !known {
 			e = &freeEstimate{}
-			s.freeEstimates[o.Instance] = e
+			s.freeEstimates[ref.Instance] = e
 		}
 		if m.Heartbeat.Seq > e.seq {
 			e.seq, e.free = m.Heartbeat.Seq, m.Heartbeat.Free
@@ -129,7 +129,7 @@
 
 // markDispatched records a dispatch and subtracts its demand from the estimate of the
 // holder's free resources.
-func (s *Service) markDispatched(e *entry, to wire.Owner, attempt uint32) {
+func (s *Service) markDispatched(e *entry, to wire.InstanceRef, attempt uint32) {
 	s.setPhase(e, phaseDispatched)
 	e.holder = to
 	e.attempt = attempt
@@ -170,16 +170,16 @@
 
 // peerWithMostFree returns the other instance with the most free task slots among
 // those that the task is estimated to fit on.
-func (s *Service) peerWithMostFree(e *entry) (wire.Owner, bool) {
-	var best wire.Owner
+func (s *Service) peerWithMostFree(e *entry) (wire.InstanceRef, bool) {
+	var best wire.InstanceRef
 	var free int64
-	for _, o := range s.members.Live() {
-		r, ok := s.freeEstimates[o.Instance]
-		if !ok || o == s.env.Owner() || !e.task.Demand.Fits(r.free) || s.recentlyRefused(o.Instance, e.task.Team) {
+	for _, ref := range s.members.Live() {
+		r, ok := s.freeEstimates[ref.Instance]
+		if !ok || ref == s.env.Owner() || !e.task.Demand.Fits(r.free) || s.recentlyRefused(ref.Instance, e.task.Team) {
 			continue
 		}
 		if best.Instance == "" || r.free.Slots > free {
-			best, free = o, r.free.Slots
+			best, free = ref, r.free.Slots
 		}
 	}
 	return best, best.Instance != ""
@@ -187,7 +187,7 @@
 
 // OnMessage handles task states and replies to hold and locate messages from other
 // instances.
-func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
+func (s *Service) OnMessage(from wire.InstanceRef, m wire.Message) {
 	switch m := m.(type) {
 	case wire.TaskState:
 		s.OnTaskState(from, m)
@@ -199,7 +199,7 @@
 }
 
 // OnTaskState applies a task's state as reported by the lease holder of its worker.
-func (s *Service) OnTaskState(from wire.Owner, st wire.TaskState) {
+func (s *Service) OnTaskState(from wire.InstanceRef, st wire.TaskState) {
 	base := model.BaseTask(st.Task)
 	e, ok := s.entries[base]
 	if !ok {
@@ -239,7 +239,7 @@
 	return e
 }
 
-func (s *Service) onRejected(e *entry, from wire.Owner, st wire.TaskState) {
+func (s *Service) onRejected(e *entry, from wire.InstanceRef, st wire.TaskState) {
 	if e.phase != phaseDispatched || e.holder != from || e.attempt != st.Attempt {
 		return
 	}
@@ -256,12 +256,12 @@
 		s.setPhase(e, phaseGang)
 		return
 	}
-	e.holder = wire.Owner{}
+	e.holder = wire.InstanceRef{}
 	s.setPhase(e, phaseWaiting)
 	s.queue.Requeue(&e.task, e.queueRank)
 }
 
-func (s *Service) onRunning(e *entry, from wire.Owner, st wire.TaskState) {
+func (s *Service) onRunning(e *entry, from wire.InstanceRef, st wire.TaskState) {
 	e.holder = from
 	e.worker = st.Worker
 	e.attempt = max(e.attempt, st.Attempt)
@@ -291,7 +291,7 @@
 	if s.shouldRunAgain(e, out) {
 		e.run++
 		e.attempt = 0
-		e.holder = wire.Owner{}
+		e.holder = wire.InstanceRef{}
 		s.backOff(e)
 		return
 	}
@@ -336,15 +336,15 @@
 }
 
 // OnMemberDead starts to locate the tasks that were dispatched to a dead instance.
-func (s *Service) OnMemberDead(o wire.Owner) {
-	delete(s.freeEstimates, o.Instance)
-	s.locateTasksOf(o)
+func (s *Service) OnMemberDead(ref wire.InstanceRef) {
+	delete(s.freeEstimates, ref.Instance)
+	s.locateTasksOf(ref)
 }
 
 // OnPeerDown starts to locate the tasks that were dispatched over a lost connection.
-func (s *Service) OnPeerDown(peer wire.Owner) { s.locateTasksOf(peer) }
+func (s *Service) OnPeerDown(peer wire.InstanceRef) { s.locateTasksOf(peer) }
 
-func (s *Service) locateTasksOf(holder wire.Owner) {
+func (s *Service) locateTasksOf(holder wire.InstanceRef) {
 	for _, id := range s.sortedEntryIDs() {
 		e := s.entries[id]
 		if e.holder == holder && (e.phase == phaseDispatched || e.phase == phaseRunning) {
--- a/internal/service/requests/entry.go
+++ b/internal/service/requests/entry.go
@@ -31,7 +31,7 @@
 	shard           model.Shard
 	fingerprint     uint64 // of the request, 0 if it is not known
 	phase           phase
-	holder          wire.Owner // instance that the task was dispatched to
+	holder          wire.InstanceRef // instance that the task was dispatched to
 	attempt         uint32
 	run             int
 	firstReceivedAt time.Duration // latest time at which any owner can have received it first
@@ -53,7 +53,7 @@
 // waiter is a caller that waits for the answer, identified by its gateway and the
 // gateway's handle.
 type waiter struct {
-	from     wire.Owner
+	from     wire.InstanceRef
 	handle   uint64
 	deadline time.Duration
 }
--- a/internal/service/requests/gang.go
+++ b/internal/service/requests/gang.go
@@ -201,7 +201,7 @@
 		return
 	}
 	for _, e := range g.members {
-		e.run, e.attempt, e.holder, e.lastRunFailed = run+1, 0, wire.Owner{}, false
+		e.run, e.attempt, e.holder, e.lastRunFailed = run+1, 0, wire.InstanceRef{}, false
 		s.setPhase(e, phaseGang)
 	}
 	g.waitingSince = s.env.Now()
--- a/internal/service/requests/ganghold.go
+++ b/internal/service/requests/ganghold.go
@@ -13,14 +13,14 @@
 // resources for those tasks of a gang that have no hold yet.
 type holdRound struct {
 	id      uint64
-	holders []wire.Owner
+	holders []wire.InstanceRef
 	next    int
 	askedAt time.Duration // when the unanswered request was sent
 }
 
 // taskHold is a reservation of resources for one task at a holder.
 type taskHold struct {
-	holder  wire.Owner
+	holder  wire.InstanceRef
 	askedAt time.Duration // when the reservation was requested
 }
 
@@ -66,7 +66,7 @@
 		e.run = run
 	}
 	holders := slices.Clone(s.members.Live())
-	slices.SortFunc(holders, func(a, b wire.Owner) int { return cmp.Compare(a.Instance, b.Instance) })
+	slices.SortFunc(holders, func(a, b wire.InstanceRef) int { return cmp.Compare(a.Instance, b.Instance) })
 	g.round = &holdRound{holders: holders, next: -1}
 	s.askNextHolder(g)
 }
@@ -99,7 +99,7 @@
 
 // tasksToHold returns the tasks for which a holder is asked: those without a hold, and
 // those that it holds already, whose holds are thereby extended.
-func (g *gang) tasksToHold(holder wire.Owner) []model.Task {
+func (g *gang) tasksToHold(holder wire.InstanceRef) []model.Task {
 	var tasks []model.Task
 	for _, e := range g.members {
 		if h, held := g.holds[e.base]; held && h.holder != holder {
@@ -114,7 +114,7 @@
 
 // onHeld records a holder's reply to the request of a round. Holds that no round waits
 // for any more are released.
-func (s *Service) onHeld(from wire.Owner, m wire.Held) {
+func (s *Service) onHeld(from wire.InstanceRef, m wire.Held) {
 	for _, g := range s.gangs {
 		if g.round != nil && g.round.id == m.ID && g.round.holders[g.round.next] == from {
 			s.recordHeld(g, m)
@@ -202,7 +202,7 @@
 // releaseHolds releases all holds of a gang and ends its round.
 func (s *Service) releaseHolds(g *gang) {
 	g.round, g.gatherUntil = nil, 0
-	tasksByHolder := make(map[wire.Owner][]model.TaskID)
+	tasksByHolder := make(map[wire.InstanceRef][]model.TaskID)
 	for _, e := range g.members {
 		if h, ok := g.holds[e.base]; ok {
 			tasksByHolder[h.holder] = append(tasksByHolder[h.holder], e.runID())
@@ -210,15 +210,15 @@
 	}
 	clear(g.holds)
 	holders := slices.Clone(s.members.Live())
-	slices.SortFunc(holders, func(a, b wire.Owner) int { return cmp.Compare(a.Instance, b.Instance) })
-	for _, o := range holders {
-		ids, ok := tasksByHolder[o]
+	slices.SortFunc(holders, func(a, b wire.InstanceRef) int { return cmp.Compare(a.Instance, b.Instance) })
+	for _, ref := range holders {
+		ids, ok := tasksByHolder[ref]
 		switch {
 		case !ok:
-		case o == s.env.Owner():
+		case ref == s.env.Owner():
 			s.ledger.ReleaseHolds(wire.ReleaseHolds{Tasks: ids})
 		default:
-			s.env.Send(o.Instance, wire.ReleaseHolds{Tasks: ids})
+			s.env.Send(ref.Instance, wire.ReleaseHolds{Tasks: ids})
 		}
 	}
 }
--- a/internal/service/requests/jobtasks.go
+++ b/internal/service/requests/jobtasks.go
@@ -14,7 +14,7 @@
 // Caller identifies a caller that waits for an answer, by its gateway and the
 // gateway's handle.
 type Caller struct {
-	From   wire.Owner
+	From   wire.InstanceRef
 	Handle uint64
 }
 
@@ -33,7 +33,7 @@
 const maxTasksPerJob = 100000
 
 // submit builds a job and passes it to the jobs service for acceptance.
-func (s *Service) submit(from wire.Owner, f wire.Forward) {
+func (s *Service) submit(from wire.InstanceRef, f wire.Forward) {
 	job, refusal := s.buildJob(f)
 	if refusal != nil {
 		s.refuse(from, f, refusal)
@@ -144,8 +144,8 @@
 		Phase: e.phase.String(), TeamWaiting: s.queue.Waiting(e.task.Team),
 		TeamLevel: s.queue.Accounts.Account(e.task.Team).WeightedShare(), Here: s.ledger.Explain(&e.task),
 	}
-	for _, o := range s.members.Live() {
-		r.AtLimit = r.AtLimit || s.recentlyRefused(o.Instance, e.task.Team)
+	for _, ref := range s.members.Live() {
+		r.AtLimit = r.AtLimit || s.recentlyRefused(ref.Instance, e.task.Team)
 	}
 	if g := e.gang; g != nil {
 		r.AtLimit = r.AtLimit || g.limited
--- a/internal/service/requests/locate.go
+++ b/internal/service/requests/locate.go
@@ -61,9 +61,9 @@
 		Age: s.env.Now() - e.firstReceivedAt + s.priorAge(e),
 	}
 	m := wire.Locate{ID: l.id, Shard: e.shard, Term: term, Tasks: []wire.LocateTask{q}}
-	for _, o := range s.members.Live() {
-		if o != s.env.Owner() {
-			s.env.Send(o.Instance, m)
+	for _, ref := range s.members.Live() {
+		if ref != s.env.Owner() {
+			s.env.Send(ref.Instance, m)
 		}
 	}
 	s.onLocated(s.env.Owner(), s.ledger.Locate(m))
@@ -78,7 +78,7 @@
 	return s.env.Timing.Retention
 }
 
-func (s *Service) onLocated(from wire.Owner, m wire.Located) {
+func (s *Service) onLocated(from wire.InstanceRef, m wire.Located) {
 	l, ok := s.locates[m.ID]
 	if !ok {
 		return
@@ -137,7 +137,7 @@
 		s.dropAdopted(e)
 		return
 	}
-	e.holder = wire.Owner{}
+	e.holder = wire.InstanceRef{}
 	s.enqueue(e)
 }
 
--- a/internal/service/requests/requests.go
+++ b/internal/service/requests/requests.go
@@ -36,8 +36,8 @@
 
 // Members returns the live instances and their latest heartbeats.
 type Members interface {
-	Live() []wire.Owner
-	IsLive(wire.Owner) bool
+	Live() []wire.InstanceRef
+	IsLive(wire.InstanceRef) bool
 	Member(model.InstanceID) (*membership.Member, bool)
 	// Majority reports whether this instance is in contact with more than half of
 	// the listed instances, itself included.
@@ -75,7 +75,7 @@
 
 // Replier delivers an answer to a caller connected to this instance.
 type Replier interface {
-	OnReply(from wire.Owner, m wire.Reply)
+	OnReply(from wire.InstanceRef, m wire.Reply)
 }
 
 // Service coordinates the requests of the shards owned here.
@@ -170,7 +170,7 @@
 }
 
 // Serve handles a request forwarded by a gateway.
-func (s *Service) Serve(from wire.Owner, f wire.Forward) {
+func (s *Service) Serve(from wire.InstanceRef, f wire.Forward) {
 	r := f.Request
 	shard := model.ShardOfRequest(f.Team, r.ID)
 	_, owned := s.ownership.OwnedTerm(shard)
@@ -192,7 +192,7 @@
 	}
 }
 
-func (s *Service) call(from wire.Owner, f wire.Forward, shard model.Shard) {
+func (s *Service) call(from wire.InstanceRef, f wire.Forward, shard model.Shard) {
 	base := model.TaskIDOf(f.Team, f.Request.ID, 0)
 	w := waiter{from: from, handle: f.Handle, deadline: s.env.Now() + f.Request.Timeout}
 	if e, ok := s.entries[base]; ok {
@@ -325,7 +325,7 @@
 	s.env.Send(w.from.Instance, m)
 }
 
-func (s *Service) refuse(from wire.Owner, f wire.Forward, e *verdict.Error) {
+func (s *Service) refuse(from wire.InstanceRef, f wire.Forward, e *verdict.Error) {
 	s.reply(waiter{from: from, handle: f.Handle}, model.Refusal(f.Request.ID, e))
 }
 
--- a/internal/service/requests/status.go
+++ b/internal/service/requests/status.go
@@ -7,7 +7,7 @@
 	"pollenbend/internal/wire"
 )
 
-func (s *Service) status(from wire.Owner, f wire.Forward) {
+func (s *Service) status(from wire.InstanceRef, f wire.Forward) {
 	w := waiter{from: from, handle: f.Handle}
 	if a, ok := s.jobs.Status(f.Team, model.JobID(f.Request.ID), f.Request.Why); ok {
 		s.reply(w, a)
@@ -59,7 +59,7 @@
 	return "finished"
 }
 
-func (s *Service) cancel(from wire.Owner, f wire.Forward) {
+func (s *Service) cancel(from wire.InstanceRef, f wire.Forward) {
 	if s.jobs.Cancel(Caller{From: from, Handle: f.Handle}, f.Team, model.JobID(f.Request.ID)) {
 		return
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -58,14 +58,14 @@
 
 // MessageHandler is called with each message from a peer.
 type MessageHandler interface {
-	OnMessage(from wire.Owner, m wire.Message)
+	OnMessage(from wire.InstanceRef, m wire.Message)
 }
 
 // PeerDownHandler is called when a connection to a peer is lost.
-type PeerDownHandler interface{ OnPeerDown(peer wire.Owner) }
+type PeerDownHandler interface{ OnPeerDown(peer wire.InstanceRef) }
 
 // MemberDeadHandler is called when an incarnation of an instance is declared dead.
-type MemberDeadHandler interface{ OnMemberDead(o wire.Owner) }
+type MemberDeadHandler interface{ OnMemberDead(ref wire.InstanceRef) }
 
 // ShardHandler is called when the owner or the term of a shard changes.
 type ShardHandler interface{ OnShardMoved(m ShardMove) }
@@ -76,8 +76,8 @@
 // because the state was restored from a snapshot.
 type ShardMove struct {
 	Shard         model.Shard
-	Before        wire.Owner
-	After         wire.Owner
+	Before        wire.InstanceRef
+	After         wire.InstanceRef
 	OldTerm       uint64
 	Term          uint64
 	HandedOver    bool
--- a/internal/testcell/instance.go
+++ b/internal/testcell/instance.go
@@ -50,8 +50,8 @@
 	maxClockDriftRatio = 0.005
 )
 
-func (in *instance) owner() wire.Owner {
-	return wire.Owner{Instance: in.info.ID, Incarnation: in.info.Incarnation}
+func (in *instance) ref() wire.InstanceRef {
+	return wire.InstanceRef{Instance: in.info.ID, Incarnation: in.info.Incarnation}
 }
 
 func (in *instance) clockTime() time.Duration {
--- a/internal/testcell/network.go
+++ b/internal/testcell/network.go
@@ -28,8 +28,8 @@
 	partitioned  bool
 	blackholed   bool // the current connection drops all messages
 	buffered     []func()
-	lastArrival  map[model.InstanceID]time.Duration // arrival of the last message by receiver
-	owners       map[model.InstanceID]wire.Owner    // of the current connection, by instance
+	lastArrival  map[model.InstanceID]time.Duration    // arrival of the last message by receiver
+	refs         map[model.InstanceID]wire.InstanceRef // of the current connection, by instance
 }
 
 const reconnectInterval = 250 * time.Millisecond
@@ -38,7 +38,7 @@
 	p := newPair(a, b)
 	l, ok := c.links[p]
 	if !ok {
-		l = &link{pair: p, lastArrival: make(map[model.InstanceID]time.Duration), owners: make(map[model.InstanceID]wire.Owner)}
+		l = &link{pair: p, lastArrival: make(map[model.InstanceID]time.Duration), refs: make(map[model.InstanceID]wire.InstanceRef)}
 		c.links[p] = l
 	}
 	return l
@@ -69,7 +69,7 @@
 	if err != nil {
 		panic(err)
 	}
-	transmit := func() { c.transmit(l, in.owner(), to, data) }
+	transmit := func() { c.transmit(l, in.ref(), to, data) }
 	if l.partitioned {
 		l.buffered = append(l.buffered, transmit)
 		return
@@ -77,7 +77,7 @@
 	transmit()
 }
 
-func (c *Cell) transmit(l *link, from wire.Owner, to *instance, data []byte) {
+func (c *Cell) transmit(l *link, from wire.InstanceRef, to *instance, data []byte) {
 	at := max(c.now+c.randomLatency(), l.lastArrival[to.info.ID])
 	l.lastArrival[to.info.ID] = at
 	connectionID, incarnation := l.connectionID, to.info.Incarnation
@@ -104,8 +104,8 @@
 	l.connectionID++
 	l.buffered = nil
 	for _, p := range []pair{l.pair, {l.pair.b, l.pair.a}} {
-		if in := c.instances[p.a]; in.alive && in.owner() == l.owners[p.a] {
-			in.deliverEvent(c.randomLatency(), event.PeerDown{Peer: l.owners[p.b]})
+		if in := c.instances[p.a]; in.alive && in.ref() == l.refs[p.a] {
+			in.deliverEvent(c.randomLatency(), event.PeerDown{Peer: l.refs[p.b]})
 		}
 	}
 	c.runAfter(c.randomDuration(reconnectInterval, 2*reconnectInterval), func() { c.reconnect(l) })
@@ -124,7 +124,7 @@
 // unusable reports whether the current connection can't deliver messages.
 func (c *Cell) unusable(l *link) bool {
 	a, b := c.instances[l.pair.a], c.instances[l.pair.b]
-	stale := a.owner() != l.owners[l.pair.a] || b.owner() != l.owners[l.pair.b]
+	stale := a.ref() != l.refs[l.pair.a] || b.ref() != l.refs[l.pair.b]
 	return l.partitioned || l.blackholed || stale || !a.running() || !b.running()
 }
 
@@ -155,7 +155,7 @@
 	}
 	l.up = true
 	l.connectionID++
-	l.owners[l.pair.a], l.owners[l.pair.b] = a.owner(), b.owner()
+	l.refs[l.pair.a], l.refs[l.pair.b] = a.ref(), b.ref()
 }
 
 // Partition partitions the network between two instances until EndPartition or
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -29,7 +29,7 @@
 type Heartbeat struct {
 	Seq       uint64          `cbor:"1,keyasint" json:"seq"`
 	Applied   uint64          `cbor:"2,keyasint" json:"applied"`                     // offset of the last log entry applied
-	Reachable []Owner         `cbor:"3,keyasint,omitempty" json:"hears,omitempty"`   // instances that the sender can reach
+	Reachable []InstanceRef   `cbor:"3,keyasint,omitempty" json:"hears,omitempty"`   // instances that the sender can reach
 	Leaving   bool            `cbor:"4,keyasint,omitempty" json:"leaving,omitempty"` // the sender is shutting down and gets no further shards
 	Free      model.Resources `cbor:"5,keyasint" json:"free"`                        // on workers whose lease the sender holds
 	Teams     []TeamLoad      `cbor:"6,keyasint,omitempty" json:"teams,omitempty"`
@@ -200,7 +200,7 @@
 	Task        model.Task     `cbor:"2,keyasint" json:"task"`
 	Fingerprint uint64         `cbor:"3,keyasint,omitempty" json:"fingerprint,omitempty"`
 	Phase       uint8          `cbor:"4,keyasint" json:"phase"`
-	LeaseHolder Owner          `cbor:"5,keyasint" json:"holder"`
+	LeaseHolder InstanceRef    `cbor:"5,keyasint" json:"holder"`
 	Attempt     uint32         `cbor:"6,keyasint,omitempty" json:"attempt,omitempty"`
 	Run         int            `cbor:"7,keyasint" json:"run"`
 	CreatedAge  time.Duration  `cbor:"8,keyasint" json:"born_age"`
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -15,8 +15,8 @@
 	Term  uint64      `cbor:"2,keyasint" json:"term"`
 }
 
-// Owner is an instance in one of its incarnations, whether or not it owns shards.
-type Owner struct {
+// InstanceRef is an instance in one of its incarnations, whether or not it owns shards.
+type InstanceRef struct {
 	Instance    model.InstanceID  `cbor:"1,keyasint" json:"instance"`
 	Incarnation model.Incarnation `cbor:"2,keyasint" json:"incarnation"`
 }
@@ -24,15 +24,15 @@
 // Claim makes Owner the owner of every listed shard that is still at its listed
 // term. The new term is the offset of the entry that contains the claim.
 type Claim struct {
-	Owner  Owner       `cbor:"1,keyasint" json:"owner"`
+	Owner  InstanceRef `cbor:"1,keyasint" json:"owner"`
 	Shards []ShardTerm `cbor:"2,keyasint" json:"shards"`
 }
 
 // Handover transfers shards from their owner to another instance, which has already
 // received the owner's memory of requests.
 type Handover struct {
-	From   Owner       `cbor:"1,keyasint" json:"from"`
-	To     Owner       `cbor:"2,keyasint" json:"to"`
+	From   InstanceRef `cbor:"1,keyasint" json:"from"`
+	To     InstanceRef `cbor:"2,keyasint" json:"to"`
 	Shards []ShardTerm `cbor:"3,keyasint" json:"shards"`
 }
 
