--- a/internal/service/limits/escrow.go
+++ b/internal/service/limits/escrow.go
@@ -176,7 +176,7 @@
 		return s.load(team), s.ownership.Applied(), true
 	}
 	m, ok := s.members.Member(ref.Instance)
-	if !ok || m.Owner != ref || m.Coverage.Version != m.Heartbeat.Coverage {
+	if !ok || m.Ref != ref || m.Coverage.Version != m.Heartbeat.Coverage {
 		return wire.TeamLoad{}, 0, false
 	}
 	for _, l := range m.Heartbeat.Teams {
--- a/internal/service/membership/membership.go
+++ b/internal/service/membership/membership.go
@@ -16,10 +16,10 @@
 	"pollenbend/internal/wire"
 )
 
-// Member is what this instance knows of another one. Owner identifies the other
+// Member is what this instance knows of another one. Ref identifies the other
 // instance and its incarnation.
 type Member struct {
-	Owner           wire.InstanceRef
+	Ref             wire.InstanceRef
 	Heartbeat       wire.Heartbeat
 	LastHeartbeatAt time.Duration
 	Coverage        wire.Coverage
@@ -82,15 +82,15 @@
 
 func (s *Service) onHeartbeat(from wire.InstanceRef, heartbeat wire.Heartbeat) {
 	member, ok := s.members[from.Instance]
-	if ok && from.Incarnation < member.Owner.Incarnation {
+	if ok && from.Incarnation < member.Ref.Incarnation {
 		return
 	}
-	if ok && from.Incarnation > member.Owner.Incarnation {
+	if ok && from.Incarnation > member.Ref.Incarnation {
 		s.declareDead(member)
 		ok = false
 	}
 	if !ok {
-		member = &Member{Owner: from}
+		member = &Member{Ref: from}
 		s.members[from.Instance] = member
 		s.env.Note(event.Note{Kind: "member-up", Subject: string(from.Instance)})
 	}
@@ -106,7 +106,7 @@
 
 func (s *Service) onCoverage(from wire.InstanceRef, c wire.Coverage) {
 	m, ok := s.members[from.Instance]
-	if ok && m.Owner == from && c.Version > m.Coverage.Version {
+	if ok && m.Ref == from && c.Version > m.Coverage.Version {
 		m.Coverage = c
 	}
 }
@@ -119,7 +119,7 @@
 	}
 	for _, id := range s.sortedMembers() {
 		m := s.members[id]
-		if !m.dead && s.unreachable(m) && s.unreachableForMajority(m.Owner) {
+		if !m.dead && s.unreachable(m) && s.unreachableForMajority(m.Ref) {
 			s.declareDead(m)
 		}
 	}
@@ -176,9 +176,9 @@
 
 func (s *Service) declareDead(m *Member) {
 	m.dead = true
-	s.env.Note(event.Note{Kind: "member-dead", Subject: string(m.Owner.Instance)})
+	s.env.Note(event.Note{Kind: "member-dead", Subject: string(m.Ref.Instance)})
 	for _, l := range s.listeners {
-		l.OnMemberDead(m.Owner)
+		l.OnMemberDead(m.Ref)
 	}
 }
 
@@ -187,7 +187,7 @@
 	var refs []wire.InstanceRef
 	for _, m := range s.members {
 		if !m.dead && !s.unreachable(m) {
-			refs = append(refs, m.Owner)
+			refs = append(refs, m.Ref)
 		}
 	}
 	slices.SortFunc(refs, compareRefs)
@@ -206,7 +206,7 @@
 	live := []wire.InstanceRef{s.env.Owner()}
 	for _, m := range s.members {
 		if !m.dead {
-			live = append(live, m.Owner)
+			live = append(live, m.Ref)
 		}
 	}
 	slices.SortFunc(live, compareRefs)
@@ -243,7 +243,7 @@
 		return true
 	}
 	m, ok := s.members[ref.Instance]
-	return ok && m.Owner == ref && !m.dead
+	return ok && m.Ref == ref && !m.dead
 }
 
 // Majority reports whether this instance can reach more than half of the listed
