--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -84,7 +84,7 @@
 			c.append(a.Records...)
 			c.step(at, event.AppendDone{ID: a.ID, Offset: c.nextOffset() - 1, Verdict: verdict.Done})
 		case event.Send:
-			c.send(core.env.Owner(), a)
+			c.send(core.env.SelfRef(), a)
 		case event.Renew:
 			c.renew(at, a)
 		case event.Respond:
--- a/internal/event/env.go
+++ b/internal/event/env.go
@@ -42,8 +42,8 @@
 	return &Env{Self: self, Timing: timing, rng: rand.New(rand.NewPCG(seed, uint64(self.Incarnation)))}
 }
 
-// Owner returns this instance in its current incarnation.
-func (e *Env) Owner() wire.InstanceRef {
+// SelfRef returns this instance in its current incarnation.
+func (e *Env) SelfRef() wire.InstanceRef {
 	return wire.InstanceRef{Instance: e.Self.ID, Incarnation: e.Self.Incarnation}
 }
 
--- a/internal/service/gateway/gateway.go
+++ b/internal/service/gateway/gateway.go
@@ -249,8 +249,8 @@
 	p.sentTo, p.sent, p.retryAt = shardOwner.Owner, true, 0
 	f := p.forward
 	f.Request.Timeout = p.deadline - answerGracePeriod - s.env.Now()
-	if shardOwner.Owner == s.env.Owner() {
-		s.coordinator.Serve(s.env.Owner(), f)
+	if shardOwner.Owner == s.env.SelfRef() {
+		s.coordinator.Serve(s.env.SelfRef(), f)
 		return
 	}
 	s.env.Send(shardOwner.Owner.Instance, f)
--- a/internal/service/handover/handover.go
+++ b/internal/service/handover/handover.go
@@ -157,7 +157,7 @@
 	requests := 0
 	for _, st := range s.ownership.Owned() {
 		target, ok := ownership.Target(st.Shard, s.eligible)
-		if !ok || target == s.env.Owner() || len(shards) > 0 && target != to {
+		if !ok || target == s.env.SelfRef() || len(shards) > 0 && target != to {
 			continue
 		}
 		requests += s.records.RecordCount(st.Shard)
@@ -200,7 +200,7 @@
 	s.note("handover-append", "memory is kept by "+string(t.to.Instance))
 	t.stage = stageAppending
 	t.deadline = s.env.Now() + appendTimeout
-	t.appendID = s.env.Append(wire.Handover{From: s.env.Owner(), To: t.to, Shards: t.shards})
+	t.appendID = s.env.Append(wire.Handover{From: s.env.SelfRef(), To: t.to, Shards: t.shards})
 }
 
 // OnAppendDone ends a transfer whose handover is certainly not in the log, and
@@ -226,7 +226,7 @@
 	s.note("handover-reclaim", "the handover may or may not be in the log")
 	t.stage = stageReclaiming
 	t.deadline = s.env.Now() + appendTimeout
-	t.appendID = s.env.Append(wire.Claim{Owner: s.env.Owner(), Shards: t.shards})
+	t.appendID = s.env.Append(wire.Claim{Owner: s.env.SelfRef(), Shards: t.shards})
 }
 
 func (s *Service) note(kind, detail string) {
@@ -274,6 +274,6 @@
 	if len(s.ownership.Owned()) == 0 {
 		return true
 	}
-	alone := len(s.eligible) == 0 || len(s.eligible) == 1 && s.eligible[0] == s.env.Owner()
+	alone := len(s.eligible) == 0 || len(s.eligible) == 1 && s.eligible[0] == s.env.SelfRef()
 	return alone || s.drainStartedAt > 0 && s.env.Now()-s.drainStartedAt > drainTimeout
 }
--- a/internal/service/jobs/jobs.go
+++ b/internal/service/jobs/jobs.go
@@ -234,7 +234,7 @@
 // OnShardMoved takes over the jobs of a shard that this instance now owns. The
 // previous owner may have started their tasks.
 func (s *Service) OnShardMoved(m service.ShardMove) {
-	if m.After != s.env.Owner() {
+	if m.After != s.env.SelfRef() {
 		return
 	}
 	for _, k := range s.order {
--- a/internal/service/ledger/ledger.go
+++ b/internal/service/ledger/ledger.go
@@ -215,13 +215,13 @@
 // here whose requests belong to the shard to its new owner.
 func (s *Service) OnShardMoved(m service.ShardMove) {
 	s.maxTerms[m.Shard] = max(s.maxTerms[m.Shard], m.Term)
-	if m.After == s.env.Owner() {
+	if m.After == s.env.SelfRef() {
 		for _, id := range sortedKeys(s.listed) {
 			if model.ShardOfWorker(id) == m.Shard {
 				s.adoptWorker(s.listed[id])
 			}
 		}
-	} else if m.Before == s.env.Owner() {
+	} else if m.Before == s.env.SelfRef() {
 		for _, id := range slices.Clone(s.workerIDs) {
 			if model.ShardOfWorker(id) == m.Shard {
 				s.releaseWorker(s.workers[id])
@@ -289,8 +289,8 @@
 	if !ok {
 		return
 	}
-	if shardOwner.Owner == s.env.Owner() {
-		s.coordinator.OnTaskState(s.env.Owner(), st)
+	if shardOwner.Owner == s.env.SelfRef() {
+		s.coordinator.OnTaskState(s.env.SelfRef(), st)
 		return
 	}
 	s.env.Send(shardOwner.Owner.Instance, st)
--- a/internal/service/limits/escrow.go
+++ b/internal/service/limits/escrow.go
@@ -172,7 +172,7 @@
 // It returns false when the member has sent no heartbeat in its current incarnation
 // or its coverage does not match the heartbeat.
 func (s *Service) report(ref wire.InstanceRef, team model.TeamID) (load wire.TeamLoad, applied uint64, ok bool) {
-	if ref == s.env.Owner() {
+	if ref == s.env.SelfRef() {
 		return s.load(team), s.ownership.Applied(), true
 	}
 	m, ok := s.members.Member(ref.Instance)
@@ -213,7 +213,7 @@
 	msg := wire.Grant{
 		Team: team, Term: e.term, Seq: g.seq, Ceiling: ceiling, Limit: s.limit(team), To: to.Incarnation,
 	}
-	if to == s.env.Owner() {
+	if to == s.env.SelfRef() {
 		msg.HeartbeatSeq = currentHeartbeatSeq
 		s.applyGrant(msg)
 		return
@@ -243,7 +243,7 @@
 }
 
 func (s *Service) coverageOf(ref wire.InstanceRef) wire.Coverage {
-	if ref == s.env.Owner() {
+	if ref == s.env.SelfRef() {
 		return s.ledger.Coverage()
 	}
 	if m, ok := s.members.Member(ref.Instance); ok {
--- a/internal/service/membership/membership.go
+++ b/internal/service/membership/membership.go
@@ -203,7 +203,7 @@
 // Live returns the members that do not count as dead, this instance included,
 // sorted.
 func (s *Service) Live() []wire.InstanceRef {
-	live := []wire.InstanceRef{s.env.Owner()}
+	live := []wire.InstanceRef{s.env.SelfRef()}
 	for _, m := range s.members {
 		if !m.dead {
 			live = append(live, m.Ref)
@@ -239,7 +239,7 @@
 // IsLive reports whether ref counts as live. An instance from which no heartbeat was
 // ever received does not.
 func (s *Service) IsLive(ref wire.InstanceRef) bool {
-	if ref == s.env.Owner() {
+	if ref == s.env.SelfRef() {
 		return true
 	}
 	m, ok := s.members[ref.Instance]
--- a/internal/service/ownership/ownership.go
+++ b/internal/service/ownership/ownership.go
@@ -111,7 +111,7 @@
 	s.table[shard] = after
 	move.Shard, move.Term = shard, after.Term
 	move.Before, move.After = before.Owner, after.Owner
-	if after.Owner == s.env.Owner() || before.Owner == s.env.Owner() {
+	if after.Owner == s.env.SelfRef() || before.Owner == s.env.SelfRef() {
 		s.env.Note(event.Note{
 			Kind: "shard-moved", Subject: fmt.Sprintf("shard/%d", shard), Offset: after.Term,
 			Detail: fmt.Sprintf("%s -> %s", before.Owner.Instance, after.Owner.Instance),
@@ -136,7 +136,7 @@
 	if len(claimable) == 0 {
 		return
 	}
-	s.claimID = s.env.Append(wire.Claim{Owner: s.env.Owner(), Shards: claimable})
+	s.claimID = s.env.Append(wire.Claim{Owner: s.env.SelfRef(), Shards: claimable})
 	s.claimAt = now
 	s.env.Note(event.Note{Kind: "claim", Subject: string(s.env.Self.ID), Detail: fmt.Sprintf("%d shards", len(claimable))})
 }
@@ -171,7 +171,7 @@
 			continue
 		}
 		shard := model.Shard(i)
-		if target, ok := Target(shard, eligible); ok && target == s.env.Owner() {
+		if target, ok := Target(shard, eligible); ok && target == s.env.SelfRef() {
 			mine = append(mine, wire.ShardTerm{Shard: shard, Term: entry.Term})
 		}
 	}
@@ -221,7 +221,7 @@
 // the shard.
 func (s *Service) OwnedTerm(shard model.Shard) (term uint64, ok bool) {
 	entry := s.table[shard]
-	return entry.Term, entry.Term != 0 && entry.Owner == s.env.Owner()
+	return entry.Term, entry.Term != 0 && entry.Owner == s.env.SelfRef()
 }
 
 // Owned returns the shards that this instance owns.
--- a/internal/service/requests/dispatch.go
+++ b/internal/service/requests/dispatch.go
@@ -112,8 +112,8 @@
 	if s.mayDispatchHere(e) {
 		st := s.ledger.Dispatch(d)
 		if st.Phase != wire.PhaseRejected {
-			s.markDispatched(e, s.env.Owner(), d.Attempt)
-			s.OnTaskState(s.env.Owner(), st)
+			s.markDispatched(e, s.env.SelfRef(), d.Attempt)
+			s.OnTaskState(s.env.SelfRef(), st)
 			return true
 		}
 		s.recordRefusal(s.env.Self.ID, e.task.Team, st.Reason)
@@ -175,7 +175,7 @@
 	var free int64
 	for _, ref := range s.members.Live() {
 		r, ok := s.freeEstimates[ref.Instance]
-		if !ok || ref == s.env.Owner() || !e.task.Demand.Fits(r.free) || s.recentlyRefused(ref.Instance, e.task.Team) {
+		if !ok || ref == s.env.SelfRef() || !e.task.Demand.Fits(r.free) || s.recentlyRefused(ref.Instance, e.task.Team) {
 			continue
 		}
 		if best.Instance == "" || r.free.Slots > free {
--- a/internal/service/requests/ganghold.go
+++ b/internal/service/requests/ganghold.go
@@ -89,7 +89,7 @@
 		s.lastHoldID++
 		r.id, r.askedAt = s.lastHoldID, s.env.Now()
 		m := wire.HoldTasks{ID: r.id, Tasks: tasks, Term: term, Expires: holdDuration}
-		if to != s.env.Owner() {
+		if to != s.env.SelfRef() {
 			s.env.Send(to.Instance, m)
 			return
 		}
@@ -183,7 +183,7 @@
 		d.Task.ID = e.runID()
 		to := holds[e.base].holder
 		s.markDispatched(e, to, d.Attempt)
-		if to == s.env.Owner() {
+		if to == s.env.SelfRef() {
 			s.OnTaskState(to, s.ledger.Dispatch(d))
 			continue
 		}
@@ -215,7 +215,7 @@
 		ids, ok := tasksByHolder[ref]
 		switch {
 		case !ok:
-		case ref == s.env.Owner():
+		case ref == s.env.SelfRef():
 			s.ledger.ReleaseHolds(wire.ReleaseHolds{Tasks: ids})
 		default:
 			s.env.Send(ref.Instance, wire.ReleaseHolds{Tasks: ids})
--- a/internal/service/requests/locate.go
+++ b/internal/service/requests/locate.go
@@ -62,11 +62,11 @@
 	}
 	m := wire.Locate{ID: l.id, Shard: e.shard, Term: term, Tasks: []wire.LocateTask{q}}
 	for _, ref := range s.members.Live() {
-		if ref != s.env.Owner() {
+		if ref != s.env.SelfRef() {
 			s.env.Send(ref.Instance, m)
 		}
 	}
-	s.onLocated(s.env.Owner(), s.ledger.Locate(m))
+	s.onLocated(s.env.SelfRef(), s.ledger.Locate(m))
 }
 
 // priorAge returns how long before its receipt here a request may have been started
--- a/internal/service/requests/memory.go
+++ b/internal/service/requests/memory.go
@@ -89,11 +89,11 @@
 	imported := s.imports[m.Shard]
 	delete(s.imports, m.Shard)
 	switch {
-	case m.After == s.env.Owner() && m.Before == s.env.Owner() && !m.ChangesMissed:
+	case m.After == s.env.SelfRef() && m.Before == s.env.SelfRef() && !m.ChangesMissed:
 		// A new term of the same owner: no records are lost.
-	case m.After == s.env.Owner():
+	case m.After == s.env.SelfRef():
 		s.gainShard(m, imported)
-	case m.Before == s.env.Owner():
+	case m.Before == s.env.SelfRef():
 		s.loseShard(m.Shard)
 	}
 }
--- a/internal/service/requests/requests.go
+++ b/internal/service/requests/requests.go
@@ -318,7 +318,7 @@
 
 func (s *Service) reply(w waiter, a model.Answer) {
 	m := wire.Reply{Handle: w.handle, Answer: a}
-	if w.from == s.env.Owner() {
+	if w.from == s.env.SelfRef() {
 		s.replier.OnReply(w.from, m)
 		return
 	}
@@ -331,7 +331,7 @@
 
 func (s *Service) stopWithMode(e *entry, mode platform.StopMode) {
 	c := wire.CancelTask{Task: e.runID(), Mode: mode}
-	if e.holder == s.env.Owner() {
+	if e.holder == s.env.SelfRef() {
 		s.ledger.Cancel(c)
 		return
 	}
