--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -84,7 +84,7 @@
 			c.append(a.Records...)
 			c.step(at, event.AppendDone{ID: a.ID, Offset: c.nextOffset() - 1, Verdict: verdict.Done})
 		case event.Send:
-			c.send(core.env.Owner(), a)
+			c.send(core.env.SelfRef(), a)
 		case event.Renew:
 			c.renew(at, a)
 		case event.Respond:
@@ -125,7 +125,7 @@
 	}
 }
 
-func (c *cell) send(from wire.Owner, a event.Send) {
+func (c *cell) send(from wire.InstanceRef, a event.Send) {
 	if c.dropped != nil && c.dropped(a.Message) || c.cores[a.To] == nil {
 		return
 	}
--- a/internal/service/handover/handover.go
+++ b/internal/service/handover/handover.go
@@ -31,9 +31,9 @@
 
 // Members provides the members that may own shards.
 type Members interface {
-	Eligible() []wire.Owner
+	Eligible() []wire.InstanceRef
 	Leaving() bool
-	IsLive(wire.Owner) bool
+	IsLive(wire.InstanceRef) bool
 }
 
 // Memory exports and imports an owner's records of requests.
@@ -56,7 +56,7 @@
 	current        *transfer
 	lastTransferID uint64
 	nextTransferAt time.Duration
-	eligible       []wire.Owner
+	eligible       []wire.InstanceRef
 	eligibleSince  time.Duration // when the eligible members last changed
 	drainStartedAt time.Duration // when this instance started to leave, 0 before
 }
@@ -72,7 +72,7 @@
 
 type transfer struct {
 	id       uint64
-	to       wire.Owner
+	to       wire.InstanceRef
 	shards   []wire.ShardTerm
 	stage    stage
 	appendID uint64
@@ -149,7 +149,7 @@
 // nextTransfer returns the shards to hand over next, at most maxShards, and their new
 // owner. Shards are handed over when their target is another member; while this
 // instance is leaving, that applies to all of them.
-func (s *Service) nextTransfer(now time.Duration) (to wire.Owner, shards []wire.ShardTerm) {
+func (s *Service) nextTransfer(now time.Duration) (to wire.InstanceRef, shards []wire.ShardTerm) {
 	stable := now-s.eligibleSince >= stableWindow && now >= startupDelay
 	if !s.members.Leaving() && !stable {
 		return to, nil
@@ -157,7 +157,7 @@
 	requests := 0
 	for _, st := range s.ownership.Owned() {
 		target, ok := ownership.Target(st.Shard, s.eligible)
-		if !ok || target == s.env.Owner() || len(shards) > 0 && target != to {
+		if !ok || target == s.env.SelfRef() || len(shards) > 0 && target != to {
 			continue
 		}
 		requests += s.records.RecordCount(st.Shard)
@@ -173,7 +173,7 @@
 	return to, shards
 }
 
-func (s *Service) send(to wire.Owner, shards []wire.ShardTerm) {
+func (s *Service) send(to wire.InstanceRef, shards []wire.ShardTerm) {
 	s.lastTransferID++
 	s.current = &transfer{id: s.lastTransferID, to: to, shards: shards, deadline: s.env.Now() + sendTimeout}
 	memory, entries := s.records.ExportRecords(shards)
@@ -182,7 +182,7 @@
 }
 
 // OnMessage handles records sent by owners and confirmations from next owners.
-func (s *Service) OnMessage(from wire.Owner, m wire.Message) {
+func (s *Service) OnMessage(from wire.InstanceRef, m wire.Message) {
 	switch m := m.(type) {
 	case wire.Memory:
 		s.records.ImportRecords(m)
@@ -192,7 +192,7 @@
 	}
 }
 
-func (s *Service) onMemoryKept(from wire.Owner, m wire.MemoryKept) {
+func (s *Service) onMemoryKept(from wire.InstanceRef, m wire.MemoryKept) {
 	t := s.current
 	if t == nil || t.stage != stageSending || t.id != m.ID || t.to != from {
 		return
@@ -200,7 +200,7 @@
 	s.note("handover-append", "memory is kept by "+string(t.to.Instance))
 	t.stage = stageAppending
 	t.deadline = s.env.Now() + appendTimeout
-	t.appendID = s.env.Append(wire.Handover{From: s.env.Owner(), To: t.to, Shards: t.shards})
+	t.appendID = s.env.Append(wire.Handover{From: s.env.SelfRef(), To: t.to, Shards: t.shards})
 }
 
 // OnAppendDone ends a transfer whose handover is certainly not in the log, and
@@ -226,7 +226,7 @@
 	s.note("handover-reclaim", "the handover may or may not be in the log")
 	t.stage = stageReclaiming
 	t.deadline = s.env.Now() + appendTimeout
-	t.appendID = s.env.Append(wire.Claim{Owner: s.env.Owner(), Shards: t.shards})
+	t.appendID = s.env.Append(wire.Claim{Owner: s.env.SelfRef(), Shards: t.shards})
 }
 
 func (s *Service) note(kind, detail string) {
@@ -274,6 +274,6 @@
 	if len(s.ownership.Owned()) == 0 {
 		return true
 	}
-	alone := len(s.eligible) == 0 || len(s.eligible) == 1 && s.eligible[0] == s.env.Owner()
+	alone := len(s.eligible) == 0 || len(s.eligible) == 1 && s.eligible[0] == s.env.SelfRef()
 	return alone || s.drainStartedAt > 0 && s.env.Now()-s.drainStartedAt > drainTimeout
 }
--- a/internal/service/ledger/ledger.go
+++ b/internal/service/ledger/ledger.go
@@ -32,7 +32,7 @@
 
 // Coordinator receives the states of tasks whose request shard this instance owns.
 type Coordinator interface {
-	OnTaskState(from wire.Owner, st wire.TaskState)
+	OnTaskState(from wire.InstanceRef, st wire.TaskState)
 }
 
 // Limits decides how many tasks of a team may start on the workers held here.
@@ -215,13 +215,13 @@
 // here whose requests belong to the shard to its new owner.
 func (s *Service) OnShardMoved(m service.ShardMove) {
 	s.maxTerms[m.Shard] = max(s.maxTerms[m.Shard], m.Term)
-	if m.After == s.env.Owner() {
+	if m.After == s.env.SelfRef() {
 		for _, id := range sortedKeys(s.listed) {
 			if model.ShardOfWorker(id) == m.Shard {
 				s.adoptWorker(s.listed[id])
 			}
 		}
-	} else if m.Before == s.env.Owner() {
+	} else if m.Before == s.env.SelfRef() {
 		for _, id := range slices.Clone(s.workerIDs) {
 			if model.ShardOfWorker(id) == m.Shard {
 				s.releaseWorker(s.workers[id])
@@ -261,11 +261,11 @@
 }
 
 // OnPeerDown notes that a peer may have missed task states.
-func (s *Service) OnPeerDown(peer wire.Owner) { s.missedStates[peer.Instance] = true }
+func (s *Service) OnPeerDown(peer wire.InstanceRef) { s.missedStates[peer.Instance] = true }
 
 // reportMissed sends a peer that is reachable again the state of every task whose
 // request it coordinates.
-func (s *Service) reportMissed(peer wire.Owner) {
+func (s *Service) reportMissed(peer wire.InstanceRef) {
 	if !s.missedStates[peer.Instance] {
 		return
 	}
@@ -289,8 +289,8 @@
 	if !ok {
 		return
 	}
-	if shardOwner.Owner == s.env.Owner() {
-		s.coordinator.OnTaskState(s.env.Owner(), st)
+	if shardOwner.Owner == s.env.SelfRef() {
+		s.coordinator.OnTaskState(s.env.SelfRef(), st)
 		return
 	}
 	s.env.Send(shardOwner.Owner.Instance, st)
--- a/internal/service/ownership/ownership.go
+++ b/internal/service/ownership/ownership.go
@@ -21,14 +21,14 @@
 // ShardOwner is the table entry of one shard. Term is 0 for a shard that has never had an
 // owner.
 type ShardOwner struct {
-	Owner wire.Owner
+	Owner wire.InstanceRef
 	Term  uint64
 }
 
 // Members provides the members of the cell.
 type Members interface {
-	IsLive(o wire.Owner) bool
-	Eligible() []wire.Owner
+	IsLive(ref wire.InstanceRef) bool
+	Eligible() []wire.InstanceRef
 	Majority() bool
 	Leaving() bool
 }
@@ -98,7 +98,7 @@
 
 // reassign gives a shard a new owner if it is still at the term that the record
 // replaces. Terms only increase, because they are log offsets.
-func (s *Service) reassign(st wire.ShardTerm, to wire.Owner, offset uint64, handedOver bool) {
+func (s *Service) reassign(st wire.ShardTerm, to wire.InstanceRef, offset uint64, handedOver bool) {
 	if int(st.Shard) >= len(s.table) || s.table[st.Shard].Term != st.Term {
 		return
 	}
@@ -111,7 +111,7 @@
 	s.table[shard] = after
 	move.Shard, move.Term = shard, after.Term
 	move.Before, move.After = before.Owner, after.Owner
-	if after.Owner == s.env.Owner() || before.Owner == s.env.Owner() {
+	if after.Owner == s.env.SelfRef() || before.Owner == s.env.SelfRef() {
 		s.env.Note(event.Note{
 			Kind: "shard-moved", Subject: fmt.Sprintf("shard/%d", shard), Offset: after.Term,
 			Detail: fmt.Sprintf("%s -> %s", before.Owner.Instance, after.Owner.Instance),
@@ -136,7 +136,7 @@
 	if len(claimable) == 0 {
 		return
 	}
-	s.claimID = s.env.Append(wire.Claim{Owner: s.env.Owner(), Shards: claimable})
+	s.claimID = s.env.Append(wire.Claim{Owner: s.env.SelfRef(), Shards: claimable})
 	s.claimAt = now
 	s.env.Note(event.Note{Kind: "claim", Subject: string(s.env.Self.ID), Detail: fmt.Sprintf("%d shards", len(claimable))})
 }
@@ -171,7 +171,7 @@
 			continue
 		}
 		shard := model.Shard(i)
-		if target, ok := Target(shard, eligible); ok && target == s.env.Owner() {
+		if target, ok := Target(shard, eligible); ok && target == s.env.SelfRef() {
 			mine = append(mine, wire.ShardTerm{Shard: shard, Term: entry.Term})
 		}
 	}
@@ -181,8 +181,8 @@
 // Target returns the member that is to own a shard. It uses rendezvous hashing, so
 // that few shards move when a member joins or leaves. It returns false when there are
 // no members.
-func Target(shard model.Shard, members []wire.Owner) (wire.Owner, bool) {
-	var best wire.Owner
+func Target(shard model.Shard, members []wire.InstanceRef) (wire.InstanceRef, bool) {
+	var best wire.InstanceRef
 	var highest uint64
 	for _, m := range members {
 		h := xxhash.Sum64String(string(m.Instance) + "#" + string(rune(shard)))
@@ -221,7 +221,7 @@
 // the shard.
 func (s *Service) OwnedTerm(shard model.Shard) (term uint64, ok bool) {
 	entry := s.table[shard]
-	return entry.Term, entry.Term != 0 && entry.Owner == s.env.Owner()
+	return entry.Term, entry.Term != 0 && entry.Owner == s.env.SelfRef()
 }
 
 // Owned returns the shards that this instance owns.
