--- a/internal/httpapi/answer.go
+++ b/internal/httpapi/answer.go
@@ -71,12 +71,13 @@
 	return http.StatusOK
 }
 
-// readsRequest reports whether the operation is about an earlier request.
-func readsRequest(op model.Op) bool { return op == model.OpStatus || op == model.OpCancel }
+// targetsRequest reports whether the operation, a status or a cancellation, is about
+// an earlier request.
+func targetsRequest(op model.Op) bool { return op == model.OpStatus || op == model.OpCancel }
 
-// isReadRefusal reports whether the code means that the read itself was refused.
-// Such an answer says nothing about the request that the read is about.
-func isReadRefusal(code verdict.Code) bool {
+// isCallRefusal reports whether the code means that the status call or cancellation
+// itself was refused. Such an answer says nothing about the earlier request.
+func isCallRefusal(code verdict.Code) bool {
 	switch code {
 	case verdict.CodeBadRequest, verdict.CodeUnauthorized, verdict.CodeForbidden, verdict.CodeOverloaded,
 		verdict.CodeUnavailable, verdict.CodeDraining, verdict.CodeStaleAuthority:
@@ -85,14 +86,15 @@
 	return false
 }
 
-// writeCoreAnswer writes the core's answer to req. The answer to a read has status
-// 200 whatever the outcome of the request that the read is about.
+// writeCoreAnswer writes the core's answer to req. The answer to a status call or a
+// cancellation has status 200 whatever the outcome of the earlier request, unless
+// that request is pending or unknown or the call itself was refused.
 func (a *api) writeCoreAnswer(w http.ResponseWriter, r *http.Request, req model.Request, ans model.Answer) {
 	a.countAnswer(req.Op, ans)
 	status := statusOf(ans)
 	switch {
-	case !readsRequest(req.Op) || ans.Verdict == verdict.Pending || ans.Code == verdict.CodeNotFound:
-	case ans.Verdict == verdict.NotRun && isReadRefusal(ans.Code):
+	case !targetsRequest(req.Op) || ans.Verdict == verdict.Pending || ans.Code == verdict.CodeNotFound:
+	case ans.Verdict == verdict.NotRun && isCallRefusal(ans.Code):
 		ans.ID = ""
 	case ans.ID == req.ID:
 		status = http.StatusOK
@@ -102,7 +104,8 @@
 
 // writeRefusal writes a refusal that was decided without the core. It has no id,
 // because its verdict is about this attempt and not about earlier ones with the
-// same id.
+// same id. After an unread body it closes the connection, so that net/http does not
+// read the rest of the body first.
 func (a *api) writeRefusal(w http.ResponseWriter, r *http.Request, err error) {
 	var refusal *verdict.Error
 	if !errors.As(err, &refusal) {
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -39,7 +39,9 @@
 	DefaultRequestTimeout = 60 * time.Second
 )
 
-// Config holds the settings and the dependencies of the API.
+// Config holds the settings and the dependencies of the API. Gateway and Status are
+// required. Sizes and timeouts of zero get defaults, a nil Metrics an empty registry
+// and a nil Logger discards its lines.
 type Config struct {
 	Gateway        Gateway
 	Status         Status
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -155,15 +155,15 @@
 	}{
 		{"JSON", "POST", model.Answer{ID: "i", Verdict: verdict.Done, Body: []byte(`{"n":12345678901234567890}`), Worker: "w1", Waited: 3 * time.Millisecond},
 			200, wire.Answer{ID: "i", Verdict: verdict.Done, Answer: []byte(`{"n":12345678901234567890}`), Worker: "w1", WaitedMS: 3}},
-		{"bytes", "POST", model.Answer{ID: "i", Verdict: verdict.Done, Body: []byte{0xff}},
+		{"not JSON", "POST", model.Answer{ID: "i", Verdict: verdict.Done, Body: []byte{0xff}},
 			200, wire.Answer{ID: "i", Verdict: verdict.Done, Answer: []byte("null"), AnswerBase64: []byte{0xff}}},
 		{"overloaded", "POST", model.Answer{ID: "i", Verdict: verdict.NotRun, Code: verdict.CodeOverloaded, RetryAfter: after},
 			429, wire.Answer{ID: "i", Verdict: verdict.NotRun, Code: verdict.CodeOverloaded, RetryAfterMS: 1500, Answer: []byte("null")}},
-		{"read of a refused request", "GET", model.Answer{ID: "i", Verdict: verdict.NotRun, Code: verdict.CodeCanceled},
+		{"status of a canceled request", "GET", model.Answer{ID: "i", Verdict: verdict.NotRun, Code: verdict.CodeCanceled},
 			200, wire.Answer{ID: "i", Verdict: verdict.NotRun, Code: verdict.CodeCanceled, Answer: []byte("null")}},
-		{"refused read", "GET", model.Answer{ID: "i", Verdict: verdict.NotRun, Code: verdict.CodeUnavailable},
+		{"refused status call", "GET", model.Answer{ID: "i", Verdict: verdict.NotRun, Code: verdict.CodeUnavailable},
 			503, wire.Answer{Verdict: verdict.NotRun, Code: verdict.CodeUnavailable, RetryAfterMS: 1000, Answer: []byte("null")}},
-		{"read of nothing", "GET", model.Answer{ID: "i", Verdict: verdict.NotRun, Code: verdict.CodeNotFound},
+		{"status of an unknown request", "GET", model.Answer{ID: "i", Verdict: verdict.NotRun, Code: verdict.CodeNotFound},
 			404, wire.Answer{ID: "i", Verdict: verdict.NotRun, Code: verdict.CodeNotFound, Answer: []byte("null")}},
 	}
 	for _, tt := range tests {
--- a/internal/httpapi/serve.go
+++ b/internal/httpapi/serve.go
@@ -118,7 +118,8 @@
 }
 
 // finish logs one HTTP request and records its metrics. After a panic in a handler
-// it answers that the request may have run.
+// that has not begun its answer, it answers that the request may have run. It
+// propagates any other panic, including http.ErrAbortHandler.
 func (a *api) finish(e *exchange, r *http.Request, pattern string, requestNumber uint64, started time.Time) {
 	panicValue := recover()
 	a.heldBodyBytes.Add(-e.heldBodyBytes)
@@ -145,10 +146,10 @@
 
 // recordMetrics counts one HTTP request and records its duration.
 func (a *api) recordMetrics(pattern string, status int, duration time.Duration) {
-	route := metrics.Label{Name: "route", Value: pattern}
-	code := metrics.Label{Name: "status", Value: strconv.Itoa(status)}
-	gometrics.GetOrRegisterCounter(metrics.Name("http_requests_total", route, code), a.cfg.Metrics).Inc(1)
-	gometrics.GetOrRegisterTimer(metrics.Name("http_request_seconds", route), a.cfg.Metrics).Update(duration)
+	routeLabel := metrics.Label{Name: "route", Value: pattern}
+	statusLabel := metrics.Label{Name: "status", Value: strconv.Itoa(status)}
+	gometrics.GetOrRegisterCounter(metrics.Name("http_requests_total", routeLabel, statusLabel), a.cfg.Metrics).Inc(1)
+	gometrics.GetOrRegisterTimer(metrics.Name("http_request_seconds", routeLabel), a.cfg.Metrics).Update(duration)
 }
 
 // countAnswer counts an answer of the core by operation, verdict and code.
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -9,7 +9,7 @@
 // Defaults for the zero values of ServerConfig.
 const (
 	DefaultReadTimeout    = 15 * time.Second // for the headers and the body of one request
-	DefaultHeaderTimeout  = 5 * time.Second
+	DefaultHeaderTimeout  = 5 * time.Second  // for the headers alone, within the read timeout
 	DefaultIdleTimeout    = 90 * time.Second // between two requests of a connection
 	DefaultMaxHeaderBytes = 32 << 10         // bytes of the request headers
 )
@@ -27,7 +27,9 @@
 }
 
 // NewServer returns an HTTP server for the handler. Its timeouts and its header
-// limit bound the time and memory that a slow caller can occupy.
+// limit bound the time and memory that a slow caller can occupy. net/http starts the
+// write timeout when the headers have been read, so it also covers reading the body
+// and waiting for the core's answer.
 func NewServer(cfg ServerConfig, handler http.Handler) *http.Server {
 	read := orDefault(cfg.ReadTimeout, DefaultReadTimeout)
 	request := orDefault(cfg.RequestTimeout, DefaultRequestTimeout)
--- a/internal/httpapi/server_test.go
+++ b/internal/httpapi/server_test.go
@@ -64,7 +64,7 @@
 		status int
 		code   verdict.Code
 	}{
-		{"broken off", "Transfer-Encoding: chunked\r\n\r\n5\r\n{\"queXX", 400, verdict.CodeBadRequest},
+		{"malformed chunk", "Transfer-Encoding: chunked\r\n\r\n5\r\n{\"queXX", 400, verdict.CodeBadRequest},
 		{"stalled", "Content-Length: 100\r\n\r\n{\"queue\":", 408, verdict.CodeBadRequest},
 		{"announced too long", "Content-Length: 5000\r\n\r\n{", 413, verdict.CodeTooLarge},
 	}
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestPanicAnswersMayHaveRun(t *testing.T) {
+func TestPanicIsAnsweredWithMayHaveRun(t *testing.T) {
 	c := &scriptedCore{do: func(context.Context, model.Request) model.Answer { panic("broken") }}
 	w, doc := exchangeJSON(t, newAPI(c), "POST", "/v1/requests", `{}`)
 	require.Equal(t, 500, w.Code)
