--- a/internal/client/attempt.go
+++ b/internal/client/attempt.go
@@ -22,13 +22,13 @@
 
 // apiCall describes one call of the API, which may take several attempts.
 type apiCall struct {
-	method       string
-	path         string // including the query
-	identity     Identity
-	wantID       string // id that the answer must have; empty accepts any
-	readsRequest bool   // the answer's verdict is that of the request named by wantID, not of this call
-	timeout      time.Duration
-	body         func() ([]byte, error)
+	method         string
+	path           string // including the query
+	identity       Identity
+	wantID         string // id that the answer must be about; empty accepts any. A refusal may have no id
+	targetsRequest bool   // a status call or cancellation: the answer's verdict is that of the request named by wantID
+	timeout        time.Duration
+	body           func() ([]byte, error)
 	// resolvesEarlier reports whether a refusal of a retry with this code also
 	// means that the earlier attempts had no effect. It may be nil.
 	resolvesEarlier func(verdict.Code) bool
@@ -123,7 +123,7 @@
 	if c.wantID != "" && answer.ID != "" && answer.ID != c.wantID {
 		return inDoubtOutcome("answer to another request", errors.Newf("it is about %q", answer.ID))
 	}
-	if c.readsRequest && answer.ID == c.wantID && answer.Code != verdict.CodeNotFound {
+	if c.targetsRequest && answer.ID == c.wantID && answer.Code != verdict.CodeNotFound {
 		return outcome{answer: answer}
 	}
 	if answer.Code == verdict.CodeOK && (answer.Verdict == verdict.Done || answer.Verdict == verdict.Pending) {
@@ -143,8 +143,8 @@
 		Message:    answer.Message,
 		RetryAfter: time.Duration(answer.RetryAfterMS) * time.Millisecond,
 	}
-	if c.readsRequest && answer.ID != c.wantID {
-		e.Verdict = verdict.MayHaveRun // the read failed, so the state of the request is unknown
+	if c.targetsRequest && answer.ID != c.wantID {
+		e.Verdict = verdict.MayHaveRun // the call failed, so the state of the request is unknown
 	}
 	return e
 }
--- a/internal/client/calls.go
+++ b/internal/client/calls.go
@@ -53,22 +53,22 @@
 // also when the request itself failed. With why the answer explains what a waiting
 // request waits for.
 func (c *Client) Status(ctx context.Context, id string, why bool) (*wire.Answer, error) {
-	return c.do(ctx, apiCall{method: http.MethodGet, path: "/v1/requests/" + url.PathEscape(id) + whyQuery(why), wantID: id, readsRequest: true})
+	return c.do(ctx, apiCall{method: http.MethodGet, path: "/v1/requests/" + url.PathEscape(id) + whyQuery(why), wantID: id, targetsRequest: true})
 }
 
 // JobStatus returns the state of a job, like Status.
 func (c *Client) JobStatus(ctx context.Context, id model.JobID, why bool) (*wire.Answer, error) {
-	return c.do(ctx, apiCall{method: http.MethodGet, path: "/v1/jobs/" + url.PathEscape(string(id)) + whyQuery(why), wantID: string(id), readsRequest: true})
+	return c.do(ctx, apiCall{method: http.MethodGet, path: "/v1/jobs/" + url.PathEscape(string(id)) + whyQuery(why), wantID: string(id), targetsRequest: true})
 }
 
 // Cancel cancels a request and returns its resulting state.
 func (c *Client) Cancel(ctx context.Context, id string) (*wire.Answer, error) {
-	return c.do(ctx, apiCall{method: http.MethodDelete, path: "/v1/requests/" + url.PathEscape(id), wantID: id, readsRequest: true})
+	return c.do(ctx, apiCall{method: http.MethodDelete, path: "/v1/requests/" + url.PathEscape(id), wantID: id, targetsRequest: true})
 }
 
 // CancelJob cancels a job and returns its resulting state.
 func (c *Client) CancelJob(ctx context.Context, id model.JobID) (*wire.Answer, error) {
-	return c.do(ctx, apiCall{method: http.MethodDelete, path: "/v1/jobs/" + url.PathEscape(string(id)), wantID: string(id), readsRequest: true})
+	return c.do(ctx, apiCall{method: http.MethodDelete, path: "/v1/jobs/" + url.PathEscape(string(id)), wantID: string(id), targetsRequest: true})
 }
 
 // Tickets requests tickets for requests that must not run twice.
@@ -92,6 +92,8 @@
 		change.ID = NewID()
 	}
 	call := apiCall{method: http.MethodPost, path: "/v1/config", wantID: change.ID, body: jsonBody(change)}
+	// A server answers a repeated change with the result of the first attempt, so a
+	// conflict means that no earlier attempt took effect.
 	call.resolvesEarlier = func(code verdict.Code) bool { return code == verdict.CodeConflict }
 	return c.do(ctx, call)
 }
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,7 @@
-// Package client calls the HTTP API. It maps every failure of a call to a verdict,
-// retries a call only under the same id or after a refusal without effect, and
-// limits the retries with a budget.
+// Package client calls the HTTP API. It maps every failure of a call to a verdict
+// and, within a budget, retries a call after a lost answer or after a refusal without
+// effect. All attempts at a request, job or change carry the same id; other calls
+// have none.
 package client
 
 import (
@@ -17,8 +18,8 @@
 
 // Defaults for the zero values of Config.
 const (
-	DefaultMaxAttempts    = 5
-	DefaultAttemptTimeout = 65 * time.Second
+	DefaultMaxAttempts    = 5                // of one call, including the first
+	DefaultAttemptTimeout = 65 * time.Second // exceeds the server's default request timeout of 60 s
 )
 
 // dialTimeout is the maximum time to open a connection.
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -87,7 +87,7 @@
 		{"refused for good", []scriptedReply{reply("i", verdict.NotRun, verdict.CodeNeverFits)}, verdict.NotRun, verdict.CodeNeverFits},
 		{"in doubt is not retried", []scriptedReply{reply("i", verdict.MayHaveRun, verdict.CodeInDoubt)}, verdict.MayHaveRun, verdict.CodeInDoubt},
 		{"lost, then done", []scriptedReply{dropped, done}, verdict.Done, ""},
-		{"cut, then done", []scriptedReply{{answer: done.answer, truncated: true}, done}, verdict.Done, ""},
+		{"truncated, then done", []scriptedReply{{answer: done.answer, truncated: true}, done}, verdict.Done, ""},
 		{"answer to another request, then done", []scriptedReply{reply("other", verdict.Done, ""), done}, verdict.Done, ""},
 		{"unmatched, then done", []scriptedReply{reply("", verdict.Done, ""), done}, verdict.Done, ""},
 		{"not from the API, then done", []scriptedReply{{text: "<html>"}, done}, verdict.Done, ""},
--- a/internal/client/retry.go
+++ b/internal/client/retry.go
@@ -17,7 +17,8 @@
 	maxBackoff = 5 * time.Second
 )
 
-// The retry budget: each call deposits retriesPerCall, each retry withdraws one.
+// The retry budget, in retries. It begins at maxRetryBudget; each call deposits
+// retriesPerCall and each retry withdraws one.
 const (
 	retriesPerCall = 0.1
 	maxRetryBudget = 10.0
@@ -51,7 +52,8 @@
 	return true
 }
 
-// sleepFunc waits for d. It returns false if ctx ends first.
+// sleepFunc waits for d and returns true. It returns false, possibly without waiting,
+// if ctx ends or will end first.
 type sleepFunc func(ctx context.Context, d time.Duration) bool
 
 func sleep(ctx context.Context, d time.Duration) bool {
@@ -68,12 +70,12 @@
 	}
 }
 
-// do makes attempts until one gives a final result. While an earlier attempt may
-// have run, a refusal of a later one does not make the call not run.
+// do makes attempts until one gives a final result. If an earlier attempt may have
+// run, a refusal of a later one does not prove that the call has not run.
 func (c *Client) do(ctx context.Context, call apiCall) (*wire.Answer, error) {
 	c.budget.deposit()
 	backoff := minBackoff
-	var inDoubt *verdict.Error // of an attempt whose answer was lost
+	var inDoubt *verdict.Error // error of the last attempt whose answer was lost
 	for attempt := 1; ; attempt++ {
 		result := c.attempt(ctx, call)
 		if result.err == nil {
@@ -108,7 +110,7 @@
 // resolvesEarlierAttempts reports whether the outcome of a retry also holds for the
 // attempts before it.
 func (c apiCall) resolvesEarlierAttempts(o outcome) bool {
-	if o.answerLost || c.readsRequest || o.err.Verdict != verdict.NotRun {
+	if o.answerLost || c.targetsRequest || o.err.Verdict != verdict.NotRun {
 		return true
 	}
 	return o.err.Code == verdict.CodeCanceled || c.resolvesEarlier != nil && c.resolvesEarlier(o.err.Code)
