--- a/internal/cli/args.go
+++ b/internal/cli/args.go
@@ -38,7 +38,8 @@
 	return command{}, false
 }
 
-// scanArgs checks that every flag in args is a flag of sub and has a value if it
+// scanArgs collects the positional arguments in args and whether they ask for help
+// or the version. It checks that every flag is a flag of sub and has a value if it
 // needs one. sub is nil if no command is named.
 func scanArgs(sub *flaggy.Subcommand, args []string) (commandLine, error) {
 	line := commandLine{argsBeforeDashes: len(args)}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -95,7 +95,7 @@
 		{"diff " + invalid, nil, ExitUsage},
 		{"diff", nil, ExitUsage},
 		{"diff " + valid, fakeInstance{"GET config": forbidden}, ExitNotRun},
-		{"apply " + valid, fakeInstance{"GET config": empty, "POST config": answerAbout("c", verdict.Done, "")}, ExitMayHaveRun}, // another id
+		{"apply " + valid, fakeInstance{"GET config": empty, "POST config": answerAbout("c", verdict.Done, "")}, ExitMayHaveRun}, // the answer is about another id
 		{"apply --change-id c " + valid, fakeInstance{"GET config": empty, "POST config": answerAbout("c", verdict.Done, "")}, ExitDone},
 		{"apply --change-id c " + valid, fakeInstance{"GET config": document(model.Declarations{Teams: []model.Team{{Name: "a", Share: 1}}})}, ExitDone},
 		{"apply " + invalid, nil, ExitUsage},
@@ -278,7 +278,7 @@
 				round--
 			}
 			if q.URL.Query().Get("since") != wantSince[id][round] {
-				panic("round " + wantSince[id][round] + " requests since " + q.URL.Query().Get("since"))
+				panic(id + ": want since " + wantSince[id][round] + ", got " + q.URL.Query().Get("since"))
 			}
 			_ = json.NewEncoder(w).Encode(document(json.RawMessage(rounds[id][round])))
 			round++
--- a/internal/cli/example.go
+++ b/internal/cli/example.go
@@ -71,8 +71,8 @@
 	return exampleResult{request: r, answer: answer, err: err}
 }
 
-// mismatch compares an answer with the workers' own records. It returns a
-// description of the difference, or an empty string if there is none.
+// mismatch returns why a result is not a complete answer of a task that, by the
+// workers' history, was started exactly once. It returns an empty string if it is.
 func (c *devCell) mismatch(r exampleResult) string {
 	if r.err != nil {
 		return r.err.Error()
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -81,6 +81,8 @@
 	}
 	change := model.Change{Put: model.Declarations{Keys: []model.Key{key}}}
 	code := changeKeys(ctx, &o.remoteFlags, "keys new", change, errOut)
+	// The key may be in force also if the answer was lost, and its secret cannot be
+	// read from a server.
 	if code == ExitDone || code == ExitMayHaveRun {
 		printKey(out, o.json, secret, key)
 	}
--- a/internal/cli/progress.go
+++ b/internal/cli/progress.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	progressDelay    = 500 * time.Millisecond
-	progressInterval = time.Second
+	progressDelay    = 500 * time.Millisecond // before the first output
+	progressInterval = time.Second            // between outputs
 )
 
 // showProgress shows the activity and its duration on a terminal until the returned
--- a/internal/cli/remote.go
+++ b/internal/cli/remote.go
@@ -32,8 +32,8 @@
 	sub.Bool(&r.json, "", "json", "print JSON")
 }
 
-// allServers returns the servers given by flags, or those of the environment if
-// there are none.
+// allServers returns the servers given by flags or, if there are none, those of the
+// environment variable, which are separated by commas or spaces.
 func (r *remoteFlags) allServers() []string {
 	if len(r.servers) > 0 {
 		return r.servers
--- a/internal/cli/replay_test.go
+++ b/internal/cli/replay_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReplayExitCodes compares a recorded trace with the outcomes that it has, with
-// others, and with files that cannot be read.
+// TestReplayExitCodes replays a recorded trace with expected outcomes that are equal,
+// different or not given, and with an invalid trace or expectation file.
 func TestReplayExitCodes(t *testing.T) {
 	const trace = "../../testdata/replay/styrkeled-summer-time-begins"
 	expected, err := os.ReadFile(trace + ".toml")
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -60,14 +60,14 @@
 	if err != nil {
 		return usageError(errOut, "submit", err)
 	}
-	as := client.Identity{IdempotencyKey: o.id, Ticket: o.ticket}
+	identity := client.Identity{IdempotencyKey: o.id, Ticket: o.ticket}
 	if o.id == "" && o.ticket == "" {
-		as.IdempotencyKey = client.NewID()
+		identity.IdempotencyKey = client.NewID()
 	}
 	stop := showProgress(errOut, "waiting for the answer")
-	answer, err := o.send(ctx, c, payload, as)
+	answer, err := o.send(ctx, c, payload, identity)
 	stop()
-	id := as.IdempotencyKey + as.Ticket
+	id := identity.IdempotencyKey + identity.Ticket // one of them is empty
 	printAnswer(out, o.json, id, answerOf(id, answer, err))
 	if err != nil {
 		return exitOfError(err)
@@ -101,16 +101,16 @@
 	return text, nil
 }
 
-func (o *submitOptions) send(ctx context.Context, c *client.Client, payload json.RawMessage, as client.Identity) (*wire.Answer, error) {
+func (o *submitOptions) send(ctx context.Context, c *client.Client, payload json.RawMessage, identity client.Identity) (*wire.Answer, error) {
 	if !o.job {
 		return c.Call(ctx, wire.Call{
 			Queue: o.queue, Service: o.service, Payload: payload, Class: model.Class(o.class), Timeout: duration(o.timeout),
-		}, as)
+		}, identity)
 	}
 	return c.Submit(ctx, wire.Job{
 		Queue: o.queue, Service: o.service, Payload: payload, Class: model.Class(o.class),
 		Kind: model.Kind(o.kind), Count: o.count, RunTime: duration(o.runTime),
-	}, as)
+	}, identity)
 }
 
 // duration formats d for the API; zero gives an empty string.
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -62,7 +62,7 @@
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
-		_ = readAll(ctx, sources, merger, errOut) // readAll has reported it; the next round retries
+		_ = readAll(ctx, sources, merger, errOut) // readAll has printed the errors; the next round retries
 		printEvents(out, r.json, merger.Ready())
 		select {
 		case <-ctx.Done():
@@ -91,7 +91,8 @@
 }
 
 // readAll adds the new events of every source to the merger. It prints the errors of
-// sources that can't be read and returns the first one.
+// sources that can't be read and returns the first one, except for errors after ctx
+// has ended.
 func readAll(ctx context.Context, sources []*source, merger *merge.Merger, errOut io.Writer) error {
 	var first error
 	for _, s := range sources {
