--- a/internal/standin/services_test.go
+++ b/internal/standin/services_test.go
@@ -70,17 +70,17 @@
 
 func TestLogRate(t *testing.T) {
 	c := NewLogCore(LogSettings{})
-	taken := 0
+	accepted := 0
 	for ms := range 1000 {
 		for range 2 {
 			if _, err := c.Append(at(time.Duration(ms)*time.Millisecond), "s", nil); err == nil {
-				taken++
+				accepted++
 			} else {
 				requireNotRun(t, verdict.CodeOverloaded, err)
 			}
 		}
 	}
-	require.InDelta(t, DefaultLogRate+appendBurst, taken, 1)
+	require.InDelta(t, DefaultLogRate+appendBurst, accepted, 1)
 }
 
 func TestLogLongPoll(t *testing.T) {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -70,7 +70,7 @@
 	lastContact time.Time // last renewal or release
 
 	lease      lease
-	highestRef platform.LeaseRef // the latest reference with the highest term in any renewal
+	highestRef platform.LeaseRef // the last reference with the highest term of all renewals, granted or not
 
 	running map[model.TaskID]*run
 	used    model.Resources
@@ -86,7 +86,7 @@
 type lease struct {
 	ref       platform.LeaseRef
 	expiresAt time.Time
-	fence     uint64
+	fence     uint64 // starts with a sequence number of at most fence are refused
 }
 
 // endedTask is a task whose id is kept until the retention has passed.
@@ -180,6 +180,8 @@
 // HasEvent reports whether there is a reported outcome after since.
 func (c *WorkerCore) HasEvent(since uint64) bool { return c.seq > since }
 
+// grant acquires or renews the lease and reports whether it did. A renewal never
+// shortens the lease.
 func (c *WorkerCore) grant(now time.Time, r platform.RenewRequest) bool {
 	if r.Lease.Term >= c.highestRef.Term {
 		c.highestRef = r.Lease
@@ -201,8 +203,8 @@
 	return true
 }
 
-// canGrant reports whether ref may get the lease. Terms never decrease, and only
-// its holder may replace a valid lease.
+// canGrant reports whether ref may get the lease. Terms never decrease, and a valid
+// lease may be replaced only by its holder in the same incarnation.
 func (c *WorkerCore) canGrant(now time.Time, ref platform.LeaseRef) bool {
 	current, held := c.Lease(now)
 	if !held {
--- a/internal/standin/worker_property_test.go
+++ b/internal/standin/worker_property_test.go
@@ -28,8 +28,8 @@
 }
 
 // referenceWorker is an independent model of the leases that a worker granted and
-// the tasks that it started. Its methods issue random commands: from competing
-// holders, delayed starts, pauses and restarts.
+// the tasks that it started. Its methods issue random commands of competing holders,
+// including delayed starts, and inject random faults and restarts.
 type referenceWorker struct {
 	core        *WorkerCore
 	now         time.Time
@@ -223,7 +223,7 @@
 			"renew":   s.renew,
 			"release": s.release,
 			"start":   s.start,
-			"again":   s.start,
+			"again":   s.start, // doubles the frequency of starts
 			"stop":    s.stop,
 			"faults":  s.setFaults,
 			"restart": s.restart,
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -280,8 +280,8 @@
 	c.recordOutcome(at, EventEnd, t.task, t.ref, &o)
 }
 
-// publishOutcomes assigns event numbers to the outcomes whose report time has
-// come.
+// publishOutcomes reports the outcomes whose report time has come and assigns their
+// sequence numbers.
 func (c *WorkerCore) publishOutcomes(now time.Time) {
 	for len(c.unreported) > 0 && !c.unreported[0].at.After(now) {
 		c.seq++
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -78,7 +78,7 @@
 		name  string
 		steps []step
 	}{
-		{"none held", []step{{0, refA, false, true}}},
+		{"no lease yet", []step{{0, refA, false, true}}},
 		{"renewed", []step{{0, refA, false, true}, {9 * time.Second, refA, false, true}, {18 * time.Second, refB, false, false}}},
 		{"higher term does not override", []step{{0, refA, false, true}, {time.Second, refB, false, false}}},
 		{"holder renews after a request with a higher term", []step{{0, refA, false, true}, {time.Second, refB, false, false}, {2 * time.Second, refA, false, true}}},
@@ -274,8 +274,8 @@
 	require.Equal(t, at(leaseDuration), events[2].At, "the task ends when the worker resumes")
 }
 
-// TestHoldersRace checks that commands of a holder that was paused are refused
-// after another holder has acquired the lease.
+// TestHoldersRace checks that commands of the previous holder are refused after
+// another holder has acquired the expired lease.
 func TestHoldersRace(t *testing.T) {
 	c := newWorker(t)
 	fenced := renewRequest(refA)
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -30,7 +30,7 @@
 	mu             sync.Mutex
 	core           *WorkerCore
 	timer          *time.Timer
-	changed        chan struct{} // closed by the next change of state
+	changed        chan struct{} // closed when the core is called next
 	pausedCommands []func(time.Time, *WorkerCore)
 }
 
@@ -192,8 +192,8 @@
 	})
 }
 
-// waitForEvent waits until there is an event after r.Since, the lease is lost or
-// r.Wait has passed.
+// waitForEvent waits until there is a reported outcome after r.Since, the lease of r
+// is no longer valid or r.Wait has passed.
 func (wr *workerRunner) waitForEvent(ctx context.Context, r platform.RenewRequest) error {
 	timeout := time.NewTimer(r.Wait)
 	defer timeout.Stop()
@@ -213,7 +213,7 @@
 }
 
 // ready reports whether the wait of r has ended, and returns the channel that the
-// next change of state closes.
+// next call of the core closes.
 func (wr *workerRunner) ready(r platform.RenewRequest) (bool, <-chan struct{}) {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
