--- a/internal/platform/httpclient/client_test.go
+++ b/internal/platform/httpclient/client_test.go
@@ -93,12 +93,12 @@
 		{"explicit refusal", respondWith(http.StatusConflict, `{"verdict":"not_run","code":"stale_authority"}`), verdict.NotRun},
 		{"refusal in doubt", respondWith(http.StatusConflict, `{"verdict":"may_have_run"}`), verdict.MayHaveRun},
 		{"refusal without verdict", respondWith(http.StatusConflict, `{}`), verdict.MayHaveRun},
-		{"foreign error page", respondWith(http.StatusBadGateway, `<html>`), verdict.MayHaveRun},
+		{"error page of a proxy", respondWith(http.StatusBadGateway, `<html>`), verdict.MayHaveRun},
 		{"redirect", redirect, verdict.MayHaveRun},
 		{"error that says done", respondWith(http.StatusConflict, `{"verdict":"done"}`), verdict.MayHaveRun},
 		{"empty acknowledgement", respondWith(http.StatusOK, `{}`), verdict.MayHaveRun},
-		{"broken acknowledgement", respondWith(http.StatusOK, `{"ok":`), verdict.MayHaveRun},
-		{"cut answer", sendTruncated, verdict.MayHaveRun},
+		{"truncated acknowledgement", respondWith(http.StatusOK, `{"ok":`), verdict.MayHaveRun},
+		{"truncated answer", sendTruncated, verdict.MayHaveRun},
 		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, verdict.MayHaveRun},
 	}
 	for _, tc := range cases {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -67,12 +67,14 @@
 	Term        uint64            `json:"term"`
 }
 
-// RenewRequest acquires or renews a worker's lease and asks for events. The worker
-// delays its answer until there is an event after Since, for at most Wait.
+// RenewRequest acquires or renews a worker's lease and asks for the outcomes that the
+// worker has reported after the one with the sequence number Since. If the lease is
+// granted and Full is not set, the worker delays its answer until there is one, for
+// at most Wait. Durations are encoded in nanoseconds.
 type RenewRequest struct {
 	Lease    LeaseRef      `json:"lease"`
 	Duration time.Duration `json:"duration"`
-	// Full asks for the complete state instead of the events after Since. It also
+	// Full asks for the complete state instead of the outcomes after Since. It also
 	// sets a fence: the worker refuses starts that arrive later with a Seq of at
 	// most Fence.
 	Full  bool          `json:"full,omitempty"`
@@ -83,25 +85,28 @@
 	Release bool `json:"release,omitempty"`
 }
 
-// RenewReply answers a RenewRequest. When Granted is false, only Current is set;
-// it identifies the lease holder.
+// RenewReply answers a RenewRequest. When Granted is false, at most Current is set:
+// it identifies the lease holder or, if there is none, the lease with the highest
+// term in any renewal. It is empty after a successful release. Durations are encoded
+// in nanoseconds.
 type RenewReply struct {
 	Granted     bool              `json:"granted"`
 	Current     LeaseRef          `json:"current"`
 	Incarnation model.Incarnation `json:"incarnation"` // of the worker
 	Uptime      time.Duration     `json:"uptime"`      // since this incarnation began
-	Seq         uint64            `json:"seq"`         // of the last event
+	Seq         uint64            `json:"seq"`         // of the last reported outcome
 	Running     []model.Task      `json:"running,omitempty"`
 	// Finished holds the outcomes after Since, or all retained ones when Full.
 	Finished []model.Outcome `json:"finished,omitempty"`
-	// Seen holds, when Full, the ids of all tasks started within Retention.
+	// Seen holds, when Full, the ids of the running tasks and of those that ended
+	// within Retention.
 	Seen []model.TaskID `json:"seen,omitempty"`
 	// Retention is how long the worker keeps outcomes and ids of ended tasks.
 	Retention time.Duration `json:"retention,omitempty"`
 }
 
-// StartRequest starts a task. Seq increases with every command under one lease.
-// The worker never starts a task again whose id it has seen.
+// StartRequest starts a task. Seq increases with every start under one lease. The
+// worker never starts a task again while it keeps the task's id.
 type StartRequest struct {
 	Lease LeaseRef   `json:"lease"`
 	Seq   uint64     `json:"seq"`
@@ -111,7 +116,7 @@
 	WorkerIncarnation model.Incarnation `json:"worker_incarnation,omitempty"`
 }
 
-// StopMode selects how a task is stopped.
+// StopMode selects what a StopRequest does to a task.
 type StopMode string
 
 // Stop modes.
--- a/internal/platform/wire/wire.go
+++ b/internal/platform/wire/wire.go
@@ -49,7 +49,7 @@
 	Verdict    verdict.Verdict `json:"verdict"`
 	Code       verdict.Code    `json:"code"`
 	Message    string          `json:"message"`
-	RetryAfter time.Duration   `json:"retry_after,omitempty"`
+	RetryAfter time.Duration   `json:"retry_after,omitempty"` // in nanoseconds
 }
 
 // NewRefusal returns the refusal that carries e.
