--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -47,6 +47,7 @@
 	return Result[T]{Value: value, Lines: lines, Faults: d.faults, HasSyntaxError: hasSyntaxError}
 }
 
+// decoder decodes one file. An expression is a key with its value, or a table header.
 type decoder struct {
 	name    string
 	data    []byte // with faulty parts blanked
@@ -71,7 +72,7 @@
 		from, until := d.brokenRange(syntaxErr.offset)
 		key := keyOfLine(syntaxErr.table, d.data[from:])
 		d.add(lineAt(d.data, syntaxErr.offset), key, "expected TOML: "+syntaxErr.message)
-		if from == until || len(d.faults) >= maxFaults {
+		if from == until || len(d.faults) >= maxFaults { // blank everything, so that the loop ends
 			from, until = 0, len(d.data)
 		}
 		blank(d.data, from, until)
@@ -121,8 +122,8 @@
 	return withoutIndexes(join(table, strings.TrimSpace(key)))
 }
 
-// checkEntries reports every unknown key and every value of the wrong type, and
-// blanks their expressions.
+// checkEntries reports every unknown key and every value of the wrong type, until
+// there are maxFaults faults, and blanks their expressions.
 func (d *decoder) checkEntries() {
 	reported := "" // path of the last entry with a fault; entries below it are skipped
 	for i, e := range d.entries {
--- a/internal/tomlfile/scan.go
+++ b/internal/tomlfile/scan.go
@@ -56,7 +56,7 @@
 	counts     map[string]int // number of elements so far, by array of tables
 	entries    []entry
 	line       int // line of lineOffset
-	lineOffset int // offset that lineOf was last called with
+	lineOffset int // highest offset that lineOf was called with
 }
 
 // scan returns the entries of data in order. On a syntax error it returns the
@@ -162,8 +162,8 @@
 	s.entries = append(s.entries, e)
 }
 
-// lineOf returns the line of offset. It counts from the last offset it was called
-// with, since offsets almost always increase.
+// lineOf returns the line of offset. It counts from the highest offset that it was
+// called with, since offsets almost always increase.
 func (s *scanner) lineOf(offset int) int {
 	data := s.parser.Data()
 	if offset < s.lineOffset {
--- a/internal/tomlfile/schema.go
+++ b/internal/tomlfile/schema.go
@@ -20,8 +20,8 @@
 type Field struct {
 	Key      string // such as "timing.heartbeat"
 	Expected string // such as "a string"
-	Table    bool
-	Open     bool // a table with arbitrary keys
+	Table    bool   // a table or a list of tables
+	Open     bool   // a table with arbitrary keys
 
 	typ reflect.Type
 }
@@ -103,7 +103,8 @@
 	return s
 }
 
-// find returns the field for key. A key in an open table is a string field.
+// find returns the field for key, and false if the key is unknown. A key in an open
+// table is a string field.
 func (s schema) find(key string) (Field, bool) {
 	if f, ok := s[key]; ok {
 		return f, true
