--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -23,16 +23,16 @@
 const (
 	KindSettings     Kind = "settings"
 	KindDeclarations Kind = "declarations"
-	KindPlatform     Kind = "platform"
-	KindRequests     Kind = "requests"
+	KindPlatform     Kind = "platform" // platform of an example
+	KindRequests     Kind = "requests" // requests of an example
 )
 
 // settingsTables is a pattern that matches the names of the tables in a settings
 // file.
 const settingsTables = `(instance|listen|platform|tls|limits|timing|log|record)`
 
-// kindPatterns holds the patterns that identify the kinds of files. A file that
-// matches none holds declarations.
+// kindPatterns holds the patterns that identify the kinds of files. The first match
+// decides; a file that matches none holds declarations.
 var kindPatterns = []struct {
 	kind    Kind
 	pattern *regexp.Regexp
