--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -103,6 +103,10 @@
 // MarshalText implements encoding.TextMarshaler.
 func (s Size) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
+// maxRoundingError is the tolerance for the error of floating-point arithmetic, in
+// thousandths of a core.
+const maxRoundingError = 1e-6
+
 // milliPerCore is the number of thousandths of a core in one core.
 const milliPerCore = 1000
 
@@ -143,7 +147,7 @@
 		return 0, errors.New("out of range")
 	}
 	milli := math.Round(cores * milliPerCore)
-	if math.Abs(milli-cores*milliPerCore) > 1e-6 {
+	if math.Abs(milli-cores*milliPerCore) > maxRoundingError {
 		return 0, errors.New("finer than a thousandth")
 	}
 	return int64(milli), nil
