--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -17,12 +17,13 @@
 	// MayHaveRun means it is unknown whether the request ran. It is the zero
 	// value, so that an unset verdict never claims more than is known.
 	MayHaveRun Verdict = iota
-	// Done means the request ran once and its answer is complete.
+	// Done means the request ran once. Its answer is complete if the code is CodeOK.
 	Done
 	// NotRun means the request had no effect and never will.
 	NotRun
 	// Pending means the request is accepted and its final verdict is not known
-	// yet. It appears in status answers only.
+	// yet. It appears only in answers to status calls, cancellations and submissions
+	// of jobs.
 	Pending
 )
 
@@ -64,15 +65,15 @@
 	CodeConflict       Code = "conflict"
 	CodeTooLarge       Code = "too_large"
 	CodeOverloaded     Code = "overloaded"
-	CodeNeverFits      Code = "never_fits"
+	CodeNeverFits      Code = "never_fits" // no listed worker could ever run it
 	CodeDeadline       Code = "deadline_exceeded"
 	CodeCanceled       Code = "canceled"
 	CodeUnavailable    Code = "unavailable"
 	CodeDraining       Code = "draining"
-	CodeInDoubt        Code = "in_doubt"
+	CodeInDoubt        Code = "in_doubt" // it is unknown whether the request ran
 	CodeTaskFailed     Code = "task_failed"
 	CodeAnswerExpired  Code = "answer_expired"
-	CodeStaleAuthority Code = "stale_authority"
+	CodeStaleAuthority Code = "stale_authority" // the lease, fence or incarnation is not valid, or the shard has another owner
 )
 
 // Error is an error with a verdict. RetryAfter, if positive, is the time that the
