--- a/internal/metrics/render.go
+++ b/internal/metrics/render.go
@@ -16,7 +16,8 @@
 
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
 
-type sample struct {
+// series is one registered metric.
+type series struct {
 	family string // name without labels
 	labels string // labels without braces
 	kind   string // counter, gauge or summary
@@ -40,26 +41,28 @@
 	return err
 }
 
-func collect(r gometrics.Registry) []sample {
-	var samples []sample
+func collect(r gometrics.Registry) []series {
+	var all []series
 	r.Each(func(name string, metric any) {
 		kind := kindOf(metric)
 		if kind == "" {
 			return
 		}
 		family, labels := splitName(name)
-		samples = append(samples, sample{family, labels, kind, metric})
+		all = append(all, series{family, labels, kind, metric})
 	})
-	sort.Slice(samples, func(i, j int) bool {
-		a, b := samples[i], samples[j]
+	sort.Slice(all, func(i, j int) bool {
+		a, b := all[i], all[j]
 		if a.family != b.family {
 			return a.family < b.family
 		}
 		return a.labels < b.labels
 	})
-	return samples
+	return all
 }
 
+// kindOf returns the Prometheus type of a metric, or an empty string if it is not
+// rendered.
 func kindOf(metric any) string {
 	switch metric.(type) {
 	case gometrics.Counter, gometrics.Meter:
@@ -87,7 +90,7 @@
 	return '_'
 }
 
-func (s sample) write(b *strings.Builder) {
+func (s series) write(b *strings.Builder) {
 	switch m := s.metric.(type) {
 	case gometrics.Counter:
 		s.writeLine(b, "", "", float64(m.Count()))
@@ -106,7 +109,8 @@
 	}
 }
 
-func (s sample) writeSummary(b *strings.Builder, values []float64, count int64, unit float64) {
+// writeSummary writes the quantiles, each divided by unit, and the count.
+func (s series) writeSummary(b *strings.Builder, values []float64, count int64, unit float64) {
 	for i, q := range quantiles {
 		label := `quantile="` + strconv.FormatFloat(q, 'g', -1, 64) + `"`
 		s.writeLine(b, "", label, values[i]/unit)
@@ -114,7 +118,7 @@
 	s.writeLine(b, "_count", "", float64(count))
 }
 
-func (s sample) writeLine(b *strings.Builder, suffix, extraLabel string, value float64) {
+func (s series) writeLine(b *strings.Builder, suffix, extraLabel string, value float64) {
 	labels := s.labels
 	if labels != "" && extraLabel != "" {
 		labels += ","
