--- a/internal/logsink/handler.go
+++ b/internal/logsink/handler.go
@@ -8,7 +8,8 @@
 // Handler returns a handler that writes JSON lines to the sink. Lines about one job
 // or one worker share one rate limit. All other lines, which report the instance's
 // own state, such as who leads, have a separate limit, so that a burst of requests
-// does not crowd them out.
+// does not crowd them out. Only the attributes of the line itself decide, not those
+// of its logger.
 func (s *Sink) Handler(level slog.Leveler) slog.Handler {
 	options := &slog.HandlerOptions{Level: level}
 	return &handler{perItem: slog.NewJSONHandler(s, options), general: slog.NewJSONHandler(generalWriter{s}, options)}
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -14,8 +14,8 @@
 const (
 	// maxQueuedLines is the maximum number of lines that wait to be written.
 	maxQueuedLines = 4096
-	// maxItemLinesPerSecond limits lines about single jobs and workers. A line is
-	// about 250 bytes long.
+	// maxItemLinesPerSecond limits lines about single jobs and workers. At about
+	// 250 bytes a line they take at most about 375 KB/s.
 	maxItemLinesPerSecond = 1500
 	// maxGeneralLinesPerSecond limits all other lines.
 	maxGeneralLinesPerSecond = 200
@@ -28,9 +28,9 @@
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
-	closed  chan struct{}
-	done    chan struct{}
-	once    sync.Once
+	closed  chan struct{} // closed by Close
+	done    chan struct{} // closed when the queued lines are written after Close
+	once    sync.Once     // closes closed
 
 	itemRate, generalRate rateLimiter
 }
@@ -123,7 +123,9 @@
 			}
 		}
 		if _, err := s.out.Write(lines[:n]); err != nil {
-			s.dropped.Add(1) // the output is the only place to report it
+			// The output is the only place to report the error. All lines of the
+			// chunk count as one.
+			s.dropped.Add(1)
 		}
 		lines = lines[n:]
 	}
