--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -71,7 +71,7 @@
 	if !reply.Granted || r.Full || r.Wait <= 0 || len(reply.Finished) > 0 {
 		return reply, nil
 	}
-	if err := s.runner(w.ID).waitForEvent(ctx, r); err != nil {
+	if err := s.runner(w.ID).waitForOutcome(ctx, r); err != nil {
 		return platform.RenewReply{}, err
 	}
 	err = s.deliver(ctx, w.ID, func(now time.Time, c *WorkerCore) { reply = c.Report(now, r) })
@@ -192,9 +192,9 @@
 	})
 }
 
-// waitForEvent waits until there is a reported outcome after r.Since, the lease of r
+// waitForOutcome waits until there is a reported outcome after r.Since, the lease of r
 // is no longer valid or r.Wait has passed.
-func (wr *workerRunner) waitForEvent(ctx context.Context, r platform.RenewRequest) error {
+func (wr *workerRunner) waitForOutcome(ctx context.Context, r platform.RenewRequest) error {
 	timeout := time.NewTimer(r.Wait)
 	defer timeout.Stop()
 	for {
