--- a/internal/platform/httpclient/client.go
+++ b/internal/platform/httpclient/client.go
@@ -115,7 +115,7 @@
 	data, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
 	if err != nil {
 		c.closeIdleOnTimeout(ctx)
-		return errors.Wrap(err, "read the answer")
+		return errors.Wrap(err, "answer cut")
 	}
 	if res.StatusCode != http.StatusOK {
 		return statusError(res.Status, data)
