--- a/internal/replay/drive_test.go
+++ b/internal/replay/drive_test.go
@@ -26,6 +26,8 @@
 	listInterval  = 10 * time.Second
 	workerStride  = 8 // one in this many workers of an example takes part
 	cappedRunTime = 4 * time.Second
+	// cappedTimeout is long enough for one run of cappedRunTime and too short for two
+	// in sequence.
 	cappedTimeout = 6 * time.Second
 )
 
@@ -38,7 +40,7 @@
 	recorder *Recorder
 	actions  bytes.Buffer
 
-	startTime   time.Time // time of day at now 0
+	startTime   time.Time // wall-clock time when now is 0
 	now         time.Duration
 	log         []platform.Entry
 	logChanged  bool
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -22,7 +22,7 @@
 // change.
 type workload struct {
 	example, trace string
-	key            string // of the capped team
+	keyName        string // name of a key of the capped team
 	policy         model.Policy
 	boundaries     []time.Time // when the limited hours begin or end, or the clocks change
 	capped         []bool      // whether the limit applies before the first and after each boundary
@@ -38,7 +38,7 @@
 
 var workloads = []workload{
 	{
-		example: "guild", trace: "guild-summer-time-ends", key: "waterford-desk",
+		example: "guild", trace: "guild-summer-time-ends", keyName: "waterford-desk",
 		policy: model.Policy{
 			Name: "waterford-night", Team: "waterford-salons", TimeZone: "Europe/Dublin",
 			From: 90 * time.Minute, Until: 150 * time.Minute, Limit: 1,
@@ -48,7 +48,7 @@
 		capped:     []bool{false, true, false, true, false},
 	},
 	{
-		example: "styrkeled", trace: "styrkeled-summer-time-begins", key: "nykoebing-coach",
+		example: "styrkeled", trace: "styrkeled-summer-time-begins", keyName: "nykoebing-coach",
 		policy: model.Policy{
 			Name: "nykoebing-night", Team: "nykoebing-house", TimeZone: "Europe/Copenhagen",
 			From: 150 * time.Minute, Until: 210 * time.Minute, Limit: 1,
@@ -71,9 +71,9 @@
 	for i, at := range w.boundaries {
 		d.now = max(d.now, at.Add(-before).Sub(d.startTime))
 		d.runUntil(at.Add(-10 * time.Second))
-		d.sendCapped(at.Format("15:04")+"-before", d.example.Secret(w.key))
+		d.sendCapped(at.Format("15:04")+"-before", d.example.Secret(w.keyName))
 		d.runUntil(at.Add(tickInterval))
-		d.sendCapped(at.Format("15:04")+"-after", d.example.Secret(w.key))
+		d.sendCapped(at.Format("15:04")+"-after", d.example.Secret(w.keyName))
 		d.sendExample(at.Format("15:04"))
 		d.runUntil(at.Add(after))
 		if i == 0 {
@@ -81,10 +81,10 @@
 		}
 	}
 	d.request(model.Request{Op: model.OpApply, Key: d.example.OperatorSecret(), Change: &model.Change{
-		ID: "withdraw", Base: currentVersion(t, d), Delete: []model.ObjectRef{{Kind: model.ObjectKey, Name: w.key}},
+		ID: "withdraw", Base: currentVersion(t, d), Delete: []model.ObjectRef{{Kind: model.ObjectKey, Name: w.keyName}},
 	}})
 	d.runUntil(d.wallTime().Add(time.Second))
-	d.sendCapped("withdrawn", d.example.Secret(w.key))
+	d.sendCapped("withdrawn", d.example.Secret(w.keyName))
 	require.NoError(t, d.recorder.Flush())
 	return out.Bytes(), d.actions.Bytes()
 }
@@ -153,7 +153,8 @@
 	return secrets
 }
 
-// checkHours checks that the team's limit held exactly during the limited hours.
+// checkHours checks that the team's limit held exactly during the limited hours, and
+// that requests with an unknown or withdrawn key were refused.
 func (w workload) checkHours(t *testing.T, got Outcomes) {
 	for i, at := range w.boundaries {
 		for suffix, capped := range map[string]bool{"-before": w.capped[i], "-after": w.capped[i+1]} {
@@ -179,9 +180,9 @@
 			trace, err := os.ReadFile(w.path(".jsonl"))
 			require.NoError(t, err)
 			require.LessOrEqual(t, len(trace), maxTrace)
-			stated, err := os.ReadFile(w.path(".toml"))
+			expectedText, err := os.ReadFile(w.path(".toml"))
 			require.NoError(t, err)
-			expected, err := ParseExpectation(stated)
+			expected, err := ParseExpectation(expectedText)
 			require.NoError(t, err)
 			got, actions := replayTrace(t, trace)
 			require.Empty(t, expected.Compare(got))
--- a/internal/timeline/merge/merge.go
+++ b/internal/timeline/merge/merge.go
@@ -28,7 +28,7 @@
 }
 
 // rank orders events that are not ordered by their causes. It grows along any
-// chain of causes.
+// chain in which each event follows its cause or an earlier event of its instance.
 type rank struct {
 	offset uint64 // greatest log offset of the event and the events before it
 	depth  uint64 // length of the longest chain that ends with the event
@@ -41,7 +41,7 @@
 // stream holds the events of one incarnation of an instance.
 type stream struct {
 	incarnation model.Incarnation
-	pending     []Event         // by sequence number
+	pending     []Event         // sorted by sequence number
 	maxSeq      uint64          // greatest sequence number added
 	rank        rank            // of the last event returned
 	ranks       map[uint64]rank // of each event returned
@@ -49,7 +49,7 @@
 
 // Merger merges the events of documents that are added one after the other.
 type Merger struct {
-	streams map[model.InstanceID][]*stream // by incarnation
+	streams map[model.InstanceID][]*stream // sorted by incarnation
 }
 
 // New returns an empty merger.
@@ -96,7 +96,7 @@
 	for {
 		next := m.next(ignoreMissing)
 		if next == nil && ignoreMissing {
-			next = m.earliest() // its causes form a cycle
+			next = m.earliest() // the causes of the next events form a cycle
 		}
 		if next == nil {
 			return merged
@@ -120,6 +120,8 @@
 	return best
 }
 
+// earliest returns the stream whose next event is the lowest by instance,
+// incarnation and sequence number, or nil if no events are pending.
 func (m *Merger) earliest() *stream {
 	heads := m.heads()
 	if len(heads) == 0 {
