--- a/internal/testcell/call.go
+++ b/internal/testcell/call.go
@@ -43,7 +43,7 @@
 }
 
 // Verdict returns the verdict that the caller has received. It is MayHaveRun for a
-// lost call and Pending for an open one.
+// lost call and Pending for a call that is neither answered nor lost.
 func (c *Call) Verdict() verdict.Verdict {
 	switch {
 	case c.answered():
--- a/internal/testcell/cell.go
+++ b/internal/testcell/cell.go
@@ -21,7 +21,8 @@
 const (
 	// OperatorSecret is the secret of the cell's operator key.
 	OperatorSecret = "operator-secret"
-	stream         = "cell"
+	// stream is the name of the log's stream.
+	stream = "cell"
 )
 
 // epoch is the wall-clock time at which every cell starts.
@@ -66,7 +67,7 @@
 	logUnreachable map[model.InstanceID]bool
 	list           *standin.ListCore
 	listLag        time.Duration
-	leavingSince   map[model.WorkerID]time.Duration // when the list shows the worker as leaving
+	leavingSince   map[model.WorkerID]time.Duration // time from which the list shows the worker as leaving
 
 	history      *standin.History
 	workers      map[model.WorkerID]*worker
@@ -75,7 +76,7 @@
 	violations   []Violation // violations found while the cell runs
 }
 
-// appended is one log entry and the time at which it took effect.
+// logEntry is one log entry and the time at which it took effect.
 type logEntry struct {
 	offset  uint64
 	at      time.Duration
--- a/internal/testcell/check.go
+++ b/internal/testcell/check.go
@@ -107,7 +107,7 @@
 		case standin.EventStart:
 			used[e.Worker] = used[e.Worker].Add(e.Demand)
 			if capacity := c.workers[e.Worker].core.Worker().Capacity; !used[e.Worker].Fits(capacity) {
-				c.violateAt(e.At.Sub(epoch), PromiseCapacity, "%s runs %+v of %+v", e.Worker, used[e.Worker], capacity)
+				c.violateAt(e.At.Sub(epoch), PromiseCapacity, "the tasks on %s demand %+v, its capacity is %+v", e.Worker, used[e.Worker], capacity)
 			}
 		case standin.EventEnd:
 			used[e.Worker] = used[e.Worker].Sub(e.Demand)
@@ -120,10 +120,10 @@
 // checkSingleRun reports tasks that start twice, requests with two runs at the same
 // time, and requests that must not be repeated with more than one run. A repeatable
 // task may start again under the same id after its worker restarted: the first run
-// ended with the worker's incarnation, and nothing remembers it.
+// ended with the worker's incarnation, and the worker lost its record of it.
 func (c *Cell) checkSingleRun(events []standin.Event) {
 	started := make(map[model.TaskID]standin.Event)
-	runningTasks := make(map[model.TaskID]model.TaskID) // by base
+	runningTasks := make(map[model.TaskID]model.TaskID) // by base task, which has no run number
 	runs := make(map[model.TaskID]int)
 	notRepeatable := c.notRepeatable()
 	for _, e := range events {
@@ -141,7 +141,7 @@
 			started[e.Task], runningTasks[base] = e, e.Task
 			runs[base]++
 			if runs[base] > 1 && notRepeatable[base] {
-				c.violateAt(at, PromiseAtMostOnce, "%s runs for the %d. time", base, runs[base])
+				c.violateAt(at, PromiseAtMostOnce, "%s has started %d times", base, runs[base])
 			}
 		case standin.EventEnd:
 			delete(runningTasks, base)
@@ -233,7 +233,7 @@
 			at := e.At.Sub(epoch)
 			limit := maxLimit(history, e.Team, at-limitGrace, at)
 			if limit > 0 && running[e.Team] > limit {
-				c.violateAt(at, PromiseLimit, "team %s runs %d of %d with %s on %s", e.Team, running[e.Team], limit, e.Task, e.Worker)
+				c.violateAt(at, PromiseLimit, "team %s runs %d tasks, its limit is %d, since %s started on %s", e.Team, running[e.Team], limit, e.Task, e.Worker)
 			}
 		case standin.EventEnd:
 			running[e.Team]--
--- a/internal/testcell/check_calls.go
+++ b/internal/testcell/check_calls.go
@@ -87,7 +87,7 @@
 		if attemptCodes[answer.Answer.Code] {
 			return
 		}
-		if end := other.waitEnd(); end > answer.At {
+		if end := other.definiteAnswerTime(); end > answer.At {
 			until = min(until, max(other.SentAt, answer.At))
 		}
 	}
@@ -104,9 +104,9 @@
 	return c.answered() && c.Answers[0].Answer.Verdict == verdict.NotRun
 }
 
-// waitEnd returns when the caller got a definite answer. Without one it returns the
-// maximum duration, because the request may still run.
-func (c *Call) waitEnd() time.Duration {
+// definiteAnswerTime returns when the caller got a definite answer. Without one it
+// returns the maximum duration, because the request may still run.
+func (c *Call) definiteAnswerTime() time.Duration {
 	if c.answered() && c.Verdict() != verdict.MayHaveRun {
 		return c.Answers[0].At
 	}
--- a/internal/testcell/fault_injector.go
+++ b/internal/testcell/fault_injector.go
@@ -13,11 +13,11 @@
 // FaultInjector injects a fault between the cores and their environment.
 type FaultInjector interface {
 	// Event returns the event that a core handles in place of e.
-	Event(at model.InstanceID, e event.Event) event.Event
+	Event(id model.InstanceID, e event.Event) event.Event
 	// Action returns the actions that are executed in place of a.
-	Action(at model.InstanceID, a event.Action) []event.Action
+	Action(id model.InstanceID, a event.Action) []event.Action
 	// Start returns the request that a worker receives in place of r.
-	Start(at model.WorkerID, r platform.StartRequest) platform.StartRequest
+	Start(id model.WorkerID, r platform.StartRequest) platform.StartRequest
 }
 
 // SetFaultInjector injects a fault, to test that Check detects it.
--- a/internal/testcell/instance.go
+++ b/internal/testcell/instance.go
@@ -14,23 +14,23 @@
 )
 
 // instance is one instance of the system: a core with the input and output that
-// internal/node does in production.
+// internal/node performs in production.
 type instance struct {
 	cell               *Cell
 	info               platform.Instance
 	core               *core.Core
 	config             configView
-	startTime          time.Duration
-	clockDriftRatio    float64 // relative drift of its clock against the cell's
+	startTime          time.Duration // when the incarnation started, on the cell's clock
+	clockDriftRatio    float64       // relative drift of its clock against the cell's
 	alive              bool
 	paused             bool
 	deferredDeliveries []func() // deliveries that wait for the end of a pause
 
 	pendingAppends   []event.Append
 	appendInProgress bool
-	nextRead         uint64
+	nextReadOffset   uint64
 	availableSince   time.Duration // since when it runs without a pause and can reach the log
-	lastReadEnd      time.Duration
+	lastReadEnd      time.Duration // on the cell's clock
 	readSentAt       time.Duration // of the open read, on the instance's clock
 	readInProgress   bool
 	maxVersion       uint64 // highest configuration version of this incarnation
@@ -110,7 +110,7 @@
 func (in *instance) checkVersion() {
 	_, version := in.config.Document()
 	if version < in.maxVersion {
-		in.cell.violate(PromiseConfig, "%s fell from version %d to %d", in.info.ID, in.maxVersion, version)
+		in.cell.violate(PromiseConfig, "the configuration version in force at %s decreased from %d to %d", in.info.ID, in.maxVersion, version)
 	}
 	in.maxVersion = max(in.maxVersion, version)
 }
@@ -143,7 +143,7 @@
 	in.startTime, in.availableSince = c.now, c.now
 	in.clockDriftRatio = (2*c.rng.Float64() - 1) * maxClockDriftRatio
 	in.pendingAppends, in.appendInProgress, in.readInProgress = nil, false, false
-	in.nextRead, in.lastReadEnd, in.readSentAt, in.maxVersion = 1, c.now, 0, 0
+	in.nextReadOffset, in.lastReadEnd, in.readSentAt, in.maxVersion = 1, c.now, 0, 0
 	var err error
 	in.core, err = core.New(core.Options{Self: in.info, Timing: c.options.Timing, Seed: c.rng.Uint64()})
 	if err != nil {
@@ -214,7 +214,8 @@
 	c.instances[id].deliverEvent(0, event.DrainStarted{})
 }
 
-// Drained reports whether an instance has no open callers and no open requests.
+// Drained reports whether no caller waits for an answer at an instance and the
+// instance has no open requests.
 func (c *Cell) Drained(id model.InstanceID) bool {
 	k := c.instances[id].core.Kernel()
 	open, err := kernel.Find[interface{ Open() int }](k, service.Gateway)
@@ -238,13 +239,13 @@
 	batch := in.pendingAppends
 	in.pendingAppends = nil
 	incarnation := in.info.Incarnation
-	answered := false
+	completed := false
 	reportLater := func(d time.Duration, offset uint64, v verdict.Verdict) {
 		in.deliver(d, func() {
-			if answered {
+			if completed {
 				return
 			}
-			answered = true
+			completed = true
 			in.appendInProgress = false
 			for _, a := range batch {
 				in.step(event.AppendDone{ID: a.ID, Offset: offset, Verdict: v})
@@ -283,7 +284,7 @@
 }
 
 // nextOffset returns the next offset from the log's state, because the answer to
-// an append may be lost. It reads the log also while it is down.
+// an append may be lost. It reads the log even while the log is down.
 func (c *Cell) nextOffset() uint64 {
 	f := c.log.Faults()
 	reachable := f
@@ -297,13 +298,13 @@
 	return batch.Next
 }
 
-// readLog answers an instance's read when there are new entries or when the read
-// has waited for readWait.
+// readLog reads the log for an instance. It delivers the result when there are new
+// entries or maxReadWait after the end of the previous read.
 func (c *Cell) readLog(in *instance) {
 	if c.logUnreachable[in.info.ID] || in.readInProgress {
 		return
 	}
-	batch, err := c.log.Read(stream, in.nextRead, maxEntriesPerRead)
+	batch, err := c.log.Read(stream, in.nextReadOffset, maxEntriesPerRead)
 	if err != nil {
 		return
 	}
@@ -321,7 +322,7 @@
 			return
 		}
 		if k := len(batch.Entries); k > 0 {
-			in.nextRead = batch.Entries[k-1].Offset + 1
+			in.nextReadOffset = batch.Entries[k-1].Offset + 1
 		}
 		in.step(event.LogRead{
 			Entries: batch.Entries, Oldest: batch.Oldest, Next: batch.Next, AskedAt: sentAt,
--- a/internal/testcell/worker.go
+++ b/internal/testcell/worker.go
@@ -12,14 +12,15 @@
 	"pollenbend/internal/verdict"
 )
 
-// worker delivers commands to a stand-in worker.
+// worker delivers commands and renewals to a stand-in worker.
 type worker struct {
 	cell            *Cell
 	core            *standin.WorkerCore
-	heldCommands    []func()
+	heldCommands    []func() // commands and renewals that wait for the end of a pause
 	pendingRenewals []*pendingRenewal
 	unreachableFrom map[model.InstanceID]bool
-	// loseRenewals drops the answers of renewals; commandDelay delays commands.
+	// loseRenewals drops the answers of renewals; commandDelay delays commands and
+	// renewals.
 	loseRenewals bool
 	commandDelay time.Duration
 	nextUpdate   time.Duration // when the next timer calls update
@@ -30,7 +31,7 @@
 	instance *instance
 	request  platform.RenewRequest
 	deadline time.Duration
-	answer   func(platform.RenewReply, bool)
+	answer   func(reply platform.RenewReply, failed bool)
 }
 
 // AddWorkers starts and lists n workers with the next names of w1, w2 and so on.
@@ -62,7 +63,7 @@
 	w.update()
 }
 
-// SetCommandDelay delays commands to a worker by d; 0 ends the delay.
+// SetCommandDelay delays commands and renewals to a worker by d; 0 ends the delay.
 func (c *Cell) SetCommandDelay(id model.WorkerID, d time.Duration) { c.workers[id].commandDelay = d }
 
 // SetRenewalLoss sets whether the answers of a worker's renewals are lost.
@@ -85,8 +86,8 @@
 	c.list.SetLag(lag)
 }
 
-// update runs held commands, answers pending renewals and sets the next timer. It
-// is called after every change of the worker's state.
+// update runs the held commands and renewals, answers pending renewals and sets the
+// next timer. It is called after every change of the worker's state.
 func (w *worker) update() {
 	now := w.cell.wallTime()
 	if !w.core.Faults().Paused {
@@ -136,13 +137,13 @@
 	w.cell.runAfter(next-w.cell.now, w.update)
 }
 
-// command delivers a command of an instance to a worker. It calls execute at the
-// worker, or onLost at the instance when the worker is unreachable or timeout has
-// passed. Only the first completion takes effect.
-func (c *Cell) command(in *instance, id model.WorkerID, timeout time.Duration, execute func(w *worker, complete func(func())), onLost func()) {
+// command delivers a command or a renewal of an instance to a worker. It calls
+// execute at the worker, or onFailure at the instance when the worker is unknown or
+// unreachable or timeout has passed. Only the first completion takes effect.
+func (c *Cell) command(in *instance, id model.WorkerID, timeout time.Duration, execute func(w *worker, complete func(func())), onFailure func()) {
 	w, ok := c.workers[id]
 	if !ok {
-		in.deliver(c.randomLatency(), onLost)
+		in.deliver(c.randomLatency(), onFailure)
 		return
 	}
 	completed := false
@@ -154,13 +155,13 @@
 			}
 		})
 	}
-	complete(timeout, onLost)
+	complete(timeout, onFailure)
 	c.runAfter(c.randomLatency()+w.commandDelay, func() {
 		f := w.core.Faults()
 		answer := func(f func()) { complete(c.randomLatency(), f) }
 		switch {
 		case f.Unreachable || w.unreachableFrom[in.info.ID]:
-			answer(onLost)
+			answer(onFailure)
 		case f.Unresponsive:
 		case f.Paused:
 			w.heldCommands = append(w.heldCommands, func() { execute(w, answer) })
