--- a/internal/capacity/appends.go
+++ b/internal/capacity/appends.go
@@ -82,8 +82,8 @@
 }
 
 // CatchUp describes the recovery from an outage of the log of one hour: what the
-// cell appends after it, how long that takes in addition to the entries of the
-// peak, and how long each instance takes to read it.
+// cell appends after it, how long that takes while the appends of the peak continue,
+// and how long each instance takes to read it.
 type CatchUp struct {
 	ClaimEntries    float64
 	JobBytes        float64 // of the jobs that callers submit again
--- a/internal/capacity/cell_test.go
+++ b/internal/capacity/cell_test.go
@@ -62,7 +62,7 @@
 	offset       uint64
 	heartbeatSeq uint64
 	eventSeq     map[model.WorkerID]uint64
-	handle       uint64
+	lastHandle   uint64
 	answers      int
 }
 
@@ -272,7 +272,7 @@
 // completeCall submits one request, starts its task and reports its outcome, so
 // that the core answers the request.
 func (c *cell) completeCall() {
-	c.handle++
+	c.lastHandle++
 	start := c.startRequest()
 	c.handleAction(start)
 	done := c.renewDone(start.Worker, platform.RenewRequest{Lease: start.Request.Lease}, []model.Outcome{outcomeOf(start.Request.Task.ID)})
@@ -295,8 +295,8 @@
 }
 
 func (c *cell) newRequest() event.RequestIn {
-	return event.RequestIn{Handle: c.handle, Request: model.Request{
-		Op: model.OpCall, Queue: string(teamOf(0)), ID: fmt.Sprintf("request-%010d", c.handle), Service: "service-0",
+	return event.RequestIn{Handle: c.lastHandle, Request: model.Request{
+		Op: model.OpCall, Queue: string(teamOf(0)), ID: fmt.Sprintf("request-%010d", c.lastHandle), Service: "service-0",
 		Task: model.Task{Payload: make([]byte, payloadBytes)}, Timeout: 25 * time.Second,
 	}}
 }
--- a/internal/capacity/core_bench_test.go
+++ b/internal/capacity/core_bench_test.go
@@ -90,7 +90,7 @@
 	measure(b, "tick_ns_by_open_request", nanoseconds, "request", []int{500, 4000}, func(b *testing.B, n int) float64 {
 		c := newCell(b, cellSize{instances: 2, workers: 1, teams: 1, withoutShards: true})
 		for range n {
-			c.handle++
+			c.lastHandle++
 			require.IsType(b, event.Send{}, c.step(c.newRequest())[0])
 		}
 		return threadTimePerOp(b, func() { c.step(event.Tick{}) })
@@ -109,11 +109,11 @@
 func waitingCell(tb testing.TB, n int) *cell {
 	c := newCell(tb, cellSize{instances: 1, workers: 1, teams: 1})
 	for range 64 {
-		c.handle++
+		c.lastHandle++
 		c.handleAction(c.startRequest())
 	}
 	for range n {
-		c.handle++
+		c.lastHandle++
 		require.Empty(tb, c.step(c.newRequest()))
 	}
 	return c
@@ -137,11 +137,11 @@
 }
 
 func BenchmarkCapacityCall(b *testing.B) {
-	call := func(b *testing.B, workers, remembered int) float64 {
+	call := func(b *testing.B, workers, finished int) float64 {
 		c := newCell(b, cellSize{instances: 1, workers: workers, teams: 6})
-		c.completeCalls(remembered)
-		const batch = 100 // small, so that the number of remembered requests hardly grows
-		return fixedValue(b, medianTime(batch, func() {}, c.completeCall))
+		c.completeCalls(finished)
+		const rounds = 100 // few, so that the number of finished requests hardly grows
+		return fixedValue(b, medianTime(rounds, func() {}, c.completeCall))
 	}
 	measure(b, "call_ns_by_remembered_request", nanoseconds, "request", []int{1000, 4000}, func(b *testing.B, n int) float64 {
 		return call(b, 10, n)
@@ -232,7 +232,7 @@
 	measure(b, "takeover_ns_by_running_task", nanoseconds, "task", []int{200, 2000}, func(b *testing.B, n int) float64 {
 		c := newCell(b, cellSize{instances: 1, workers: 100, teams: 1})
 		for range n {
-			c.handle++
+			c.lastHandle++
 			c.handleAction(c.startRequest())
 		}
 		idle := workerOf(100, c.size.slots)
@@ -266,8 +266,8 @@
 		}
 		memory, err := kernel.Find[handover.Memory](c.core.Kernel(), service.Requests)
 		require.NoError(b, err)
-		of, entries := memory.ExportRecords(shards)
-		return fixedValue(b, float64(len(encode(b, wire.Memory{ID: 1, Shards: of, Entries: entries}))))
+		exported, entries := memory.ExportRecords(shards)
+		return fixedValue(b, float64(len(encode(b, wire.Memory{ID: 1, Shards: exported, Entries: entries}))))
 	})
 }
 
--- a/internal/capacity/design.go
+++ b/internal/capacity/design.go
@@ -10,7 +10,7 @@
 
 	// Peers returns to how many instances each of n instances sends heartbeats.
 	Peers func(n int) float64
-	// TeamLineRatio is the ratio of the teams that one heartbeat has a line for.
+	// TeamLineRatio is the fraction of the teams that one heartbeat has a line for.
 	TeamLineRatio float64
 	// PingsBesideHeartbeats is set if connections are pinged although they carry
 	// heartbeats.
@@ -20,7 +20,9 @@
 	// ListedWorkers returns how many of w workers each of n instances keeps in
 	// memory.
 	ListedWorkers func(w, n float64) float64
-	// Scans is set if ticks and dispatches scan every retained request.
+	// Scans is set if ticks, share calculations and shard moves scan all retained
+	// state, and finished requests are retained and handed over in full instead of
+	// as a digest.
 	Scans bool
 	// PlansPerSecond and GrantsPerSecond are for one team; a plan sends at most
 	// one grant to each instance that runs the team's tasks.
@@ -69,5 +71,5 @@
 const (
 	proposedPeers                  = 3   // peers probed in turn in each period, as in SWIM
 	proposedTeamLineRatio          = 0.1 // only lines that changed since the last heartbeat
-	proposedListedWorkerMultiplier = 2   // an instance keeps its own workers and as many of its neighbours
+	proposedListedWorkerMultiplier = 2   // an instance keeps its own workers and as many of neighbouring instances
 )
--- a/internal/capacity/failures.go
+++ b/internal/capacity/failures.go
@@ -82,13 +82,13 @@
 // shardMoveSeconds returns the processor time that every other instance spends on
 // the move of a failed instance's shards.
 func (m Model) shardMoveSeconds() float64 {
-	return m.shardsPerInstance() * m.tasksPerInstance() * m.Slopes.Lines.MoveByTask.Slope() * nano
+	return m.shardsPerInstance() * m.tasksPerInstance() * m.Slopes.Lines.MoveByTask.Slope() * secondsPerNanosecond
 }
 
 // takeoverSeconds returns the processor time of handling the full reports of a
 // failed instance's workers.
 func (m Model) takeoverSeconds() float64 {
-	return m.workersPerInstance() * m.Slopes.Lines.TakeoverByTask.At(m.tasksPerInstance()) * nano
+	return m.workersPerInstance() * m.Slopes.Lines.TakeoverByTask.At(m.tasksPerInstance()) * secondsPerNanosecond
 }
 
 // reportBytes returns the size of the full reports of a failed instance's workers.
--- a/internal/capacity/jobs_bench_test.go
+++ b/internal/capacity/jobs_bench_test.go
@@ -47,9 +47,9 @@
 	measure(b, "job_memory", memoryBytes, "job", jobs, func(b *testing.B, n int) float64 {
 		return memory(b, func() *cell { return jobCell(b, n, 0) })
 	})
-	const perSize = 100
+	const jobCount = 100
 	measure(b, "job_memory_by_ended_task", memoryBytes, "ended task", tasks, func(b *testing.B, n int) float64 {
-		return memory(b, func() *cell { return jobCell(b, perSize, n) }) / perSize
+		return memory(b, func() *cell { return jobCell(b, jobCount, n) }) / jobCount
 	})
 	measure(b, "tick_ns_by_job", nanoseconds, "job", jobs, func(b *testing.B, n int) float64 {
 		c := jobCell(b, n, 0)
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -14,7 +14,7 @@
 	Control  bool    // whether it counts as control, which has limits, or as traffic
 	Messages float64 // per second, both directions
 	Bytes    float64 // per second, both directions
-	Core     float64 // ratio of one core
+	Core     float64 // fraction of one core
 	Memory   float64 // bytes
 	Remedy   string  // change that would reduce it
 }
@@ -24,10 +24,10 @@
 	Slopes    Slopes
 	Size      Size
 	Design    Design
-	Instances int // instances
+	Instances int // number of instances of the system
 }
 
-const nano = 1e-9
+const secondsPerNanosecond = 1e-9
 
 func (m Model) instances() float64          { return float64(m.Instances) }
 func (m Model) workersPerInstance() float64 { return float64(m.Size.Workers) / m.instances() }
@@ -102,12 +102,12 @@
 	open := m.Size.OpenCallers / m.instances()
 	return []Cost{{
 		Role: "gateway", Item: "tick work for open requests", Packages: "internal/service/gateway", Control: true,
-		Core: ticksPerSecond * open * l.TickByOpen.Slope() * nano,
+		Core: ticksPerSecond * open * l.TickByOpen.Slope() * secondsPerNanosecond,
 	}, {
 		Role: "gateway", Item: "callers' exchanges", Packages: "internal/httpapi, internal/service/gateway",
 		Messages: 2 * m.startsPerInstance(),
 		Bytes:    m.startsPerInstance() * exchangeBytes(l.CallerBytes.At(messagePayloadBytes)),
-		Core:     m.startsPerInstance() * l.CallerNS.At(messagePayloadBytes) * nano,
+		Core:     m.startsPerInstance() * l.CallerNS.At(messagePayloadBytes) * secondsPerNanosecond,
 		Memory:   open * l.CallerMemory.Slope(),
 	}}
 }
@@ -121,9 +121,9 @@
 		Role: "request shards", Item: "calls: forward, dispatch, two states, reply", Packages: "internal/service/requests",
 		Messages: 2 * messages * hops,
 		Bytes:    2 * hops * (messages*m.messageBytes(0) + payload),
-		Core:     (hops*(l.CallPeerNS.At(messagePayloadBytes)+messages*m.Slopes.Transport.SendNS) + m.startsPerInstance()*(l.CallByWorker.At(m.workersPerInstance())+l.CallByRemembered.Slope()*m.finishedRequests())) * nano,
+		Core:     (hops*(l.CallPeerNS.At(messagePayloadBytes)+messages*m.Slopes.Transport.SendNS) + m.startsPerInstance()*(l.CallByWorker.At(m.workersPerInstance())+l.CallByRemembered.Slope()*m.finishedRequests())) * secondsPerNanosecond,
 	}
-	remembered := Cost{
+	finished := Cost{
 		Role: "request shards", Item: "finished requests and outcomes, kept for the retention", Packages: "internal/service/requests, ledger",
 		Control: true, Memory: m.finishedRequests() * l.FinishedRequestMemory.Slope(),
 		Remedy: "keep a hash and a verdict of an answered request and drop its payload; expire from a queue in order of time",
@@ -134,12 +134,12 @@
 		Remedy: "deadlines in a heap, in place of the scans of each tick",
 	}
 	if m.Design.Scans {
-		remembered.Core = ticksPerSecond * m.finishedRequests() * l.TickByFinished.Slope() * nano
-		waiting.Core = ticksPerSecond * m.waitingRequests() * l.TickByWaiting.Slope() * nano
+		finished.Core = ticksPerSecond * m.finishedRequests() * l.TickByFinished.Slope() * secondsPerNanosecond
+		waiting.Core = ticksPerSecond * m.waitingRequests() * l.TickByWaiting.Slope() * secondsPerNanosecond
 	} else {
-		remembered.Memory = m.finishedRequests() * digestBytes
+		finished.Memory = m.finishedRequests() * digestBytes
 	}
-	return []Cost{calls, remembered, waiting, m.jobCost()}
+	return []Cost{calls, finished, waiting, m.jobCost()}
 }
 
 // jobCost returns the cost of the state of the jobs of all teams that run or ended
@@ -156,7 +156,7 @@
 		known, tasks = known/m.instances(), tasks*endedTaskBytes/max(l.JobMemoryByTask.Slope(), 1)/m.instances()
 	}
 	c.Memory = known*l.JobMemory.Slope() + tasks*l.JobMemoryByTask.Slope()
-	c.Core = ticksPerSecond * known * l.TickByJob.Slope() * nano * m.scanMultiplier()
+	c.Core = ticksPerSecond * known * l.TickByJob.Slope() * secondsPerNanosecond * m.scanMultiplier()
 	return c
 }
 
@@ -179,6 +179,7 @@
 )
 
 const (
+	// messagesPerCall counts a forward, a dispatch, two states and a reply.
 	messagesPerCall = 5
 	// digestBytes is the memory of an answered request in the proposed design.
 	digestBytes = 64
@@ -194,13 +195,13 @@
 	return []Cost{
 		{
 			Role: "team shards", Item: "plans of ceilings", Packages: "internal/service/limits", Control: true,
-			Core:   m.Design.PlansPerSecond * (m.teams()/m.instances()*planCost + l.PlanByTeam.At(m.teams())) * nano,
+			Core:   m.Design.PlansPerSecond * (m.teams()/m.instances()*planCost + l.PlanByTeam.At(m.teams())) * secondsPerNanosecond,
 			Remedy: "keep the count of uncovered slots and the list of limited teams up to date with their changes; plan a team only when its demand changed",
 		},
 		{
 			Role: "team shards", Item: "grants, if every ceiling changes at each plan", Packages: "internal/service/limits", Control: true,
 			Messages: grants, Bytes: grants * m.messageBytes(l.GrantBytes.Values[0]),
-			Core:   grants / 2 * m.Slopes.Transport.SendNS * nano,
+			Core:   grants / 2 * m.Slopes.Transport.SendNS * secondsPerNanosecond,
 			Remedy: "step ceilings in parts of a tenth with hysteresis, and carry all of a receiver's grants in one message",
 		},
 	}
@@ -216,13 +217,13 @@
 			Role: "lease holders", Item: "renewals of leases", Packages: "internal/service/ledger, internal/platform/httpclient", Control: true,
 			Messages: 2 * idle,
 			Bytes:    idle * exchangeBytes(l.RenewalBytes.Intercept()),
-			Core:     idle * (l.ExchangeNS.Intercept() + l.RenewalTake.Intercept()) * nano,
+			Core:     idle * (l.ExchangeNS.Intercept() + l.RenewalTake.Intercept()) * secondsPerNanosecond,
 			Memory:   m.workersPerInstance() * (l.HeldWorkerMemory.Slope() + l.ConnectionMemory.Slope()),
 			Remedy:   "longer leases, with a wait of half of the lease; one renewal for the workers of a rack",
 		},
 		{
 			Role: "lease holders", Item: "tick work for the workers under lease", Packages: "internal/service/ledger", Control: true,
-			Core:   ticksPerSecond * m.workersPerInstance() * l.TickByWorker.Slope() * nano * m.scanMultiplier(),
+			Core:   ticksPerSecond * m.workersPerInstance() * l.TickByWorker.Slope() * secondsPerNanosecond * m.scanMultiplier(),
 			Remedy: "due times in a heap; free resources and coverage kept up to date",
 		},
 		{
@@ -234,7 +235,7 @@
 			Role: "lease holders", Item: "starts and outcomes", Packages: "internal/service/ledger, internal/platform/httpclient",
 			Messages: 4 * m.startsPerInstance(),
 			Bytes:    m.startsPerInstance()*exchangeBytes(l.StartBytes.At(messagePayloadBytes)) + (renewals-idle)*exchangeBytes(l.RenewalBytes.At(1)),
-			Core:     m.startsPerInstance() * (2*l.ExchangeNS.At(1) + l.RenewalTake.At(1)) * nano,
+			Core:     m.startsPerInstance() * (2*l.ExchangeNS.At(1) + l.RenewalTake.At(1)) * secondsPerNanosecond,
 		},
 	}
 }
@@ -258,7 +259,7 @@
 	costs := []Cost{{
 		Role: "membership", Item: "heartbeats with a line for each team", Packages: "internal/service/membership", Control: true,
 		Messages: 2 * rate, Bytes: 2 * rate * m.messageBytes(size),
-		Core:   rate * (encode + take + t.SendNS) * nano,
+		Core:   rate * (encode + take + t.SendNS) * secondsPerNanosecond,
 		Memory: m.Design.Peers(m.Instances) * l.MemberMemoryByTeam.At(m.teams()),
 		Remedy: "probe a few members in turn and spread changes by gossip (SWIM) within a zone, one representative of each zone between zones; send only the team lines that changed",
 	}}
@@ -271,15 +272,15 @@
 		exchanges := 2 * rate
 		pings.Messages = 2 * exchanges
 		pings.Bytes = exchanges * (t.PingBytes + t.PingDatagrams*ipUDPHeaderBytes)
-		pings.Core = exchanges * t.SendNS * nano
+		pings.Core = exchanges * t.SendNS * secondsPerNanosecond
 	}
 	return append(costs, pings, Cost{
 		Role: "membership", Item: "filling a heartbeat and calculating fair shares", Packages: "internal/service/membership, limits, requests", Control: true,
-		Core:   l.HeartbeatFillByLine.At(m.shareLines()) / m.Design.Periods.Heartbeat.Seconds() * nano,
+		Core:   l.HeartbeatFillByLine.At(m.shareLines()) / m.Design.Periods.Heartbeat.Seconds() * secondsPerNanosecond,
 		Remedy: "one pass over the members' lines for all teams, in place of one for each team",
 	}, Cost{
 		Role: "membership", Item: "tick work for members and shards", Packages: "internal/service/membership, ownership", Control: true,
-		Core:   ticksPerSecond * l.TickByInstance.At(members) * nano,
+		Core:   ticksPerSecond * l.TickByInstance.At(members) * secondsPerNanosecond,
 		Remedy: "look for shards without an owner only after a change of members or shards",
 	})
 }
@@ -298,23 +299,23 @@
 		Role: "ownership", Item: "the instance list", Packages: "internal/node, internal/platform/httpclient", Control: true,
 		Messages: 2 * listingsPerSecond,
 		Bytes:    listingsPerSecond * exchangeBytes(l.LogReadBytes.Intercept()),
-		Core:     listingsPerSecond * l.ExchangeNS.Intercept() * nano,
+		Core:     listingsPerSecond * l.ExchangeNS.Intercept() * secondsPerNanosecond,
 		Memory:   m.listedWorkers() * l.ListedWorkerMemory.Slope(),
 		Remedy:   "send the last known version with the request and read only the entries that changed since; each instance reads its own zone",
 	}
 	if m.Design.ReadsWholeListing {
 		workers := float64(m.Size.Workers)
 		list.Bytes = listingsPerSecond * exchangeBytes(l.LogReadBytes.Intercept()+l.ListingBytes.At(workers))
-		list.Core += listingsPerSecond * l.ListingTake.At(workers) * nano
+		list.Core += listingsPerSecond * l.ListingTake.At(workers) * secondsPerNanosecond
 	}
-	moves := m.shardMovesPerSecond() * m.Size.RunningTasks / m.instances() * l.MoveByTask.Slope() * nano * m.scanMultiplier()
-	memory := 2 * m.replacementsPerSecond() * 2 * m.shardsPerInstance() / m.instances() * m.handoverBytesPerShard()
+	moves := m.shardMovesPerSecond() * m.Size.RunningTasks / m.instances() * l.MoveByTask.Slope() * secondsPerNanosecond * m.scanMultiplier()
+	handoverBytesPerSecond := 2 * m.replacementsPerSecond() * 2 * m.shardsPerInstance() / m.instances() * m.handoverBytesPerShard()
 	return []Cost{list, {
 		Role: "ownership", Item: "reports of running tasks to the new owners of shards", Packages: "internal/service/ledger", Control: true,
 		Core: moves, Remedy: "an index of tasks by request shard, in place of the sort of all tasks for each moved shard",
 	}, {
 		Role: "ownership", Item: "state handed over by replaced instances", Packages: "internal/service/handover", Control: true,
-		Bytes: memory, Remedy: "hand over no payloads of answered requests",
+		Bytes: handoverBytesPerSecond, Remedy: "hand over no payloads of answered requests",
 	}}
 }
 
@@ -351,7 +352,7 @@
 			Role: "configuration", Item: "reading the log at the peak", Packages: "internal/node, internal/core", Control: true,
 			Messages: 2 * polls,
 			Bytes:    polls*exchangeBytes(l.LogReadBytes.Intercept()) + bytes*l.LogReadBytes.Slope(),
-			Core:     (polls*l.ExchangeNS.Intercept() + appends.Changes*l.ChangeTake.At(m.teams()) + m.appliedTasksPerSecond()*l.ProgressTake.Slope()) * nano,
+			Core:     (polls*l.ExchangeNS.Intercept() + appends.Changes*l.ChangeTake.At(m.teams()) + m.appliedTasksPerSecond()*l.ProgressTake.Slope()) * secondsPerNanosecond,
 			Remedy:   "a stream for each region's claims and jobs and one for declarations, and a wait before the next read so that one poll brings many entries",
 		},
 		{
--- a/internal/capacity/need.go
+++ b/internal/capacity/need.go
@@ -2,15 +2,15 @@
 
 import "pollenbend/internal/model"
 
-// Within reports for each limit whether a cost keeps it. The live memory counts
+// Within reports for each limit whether a cost is within it. The live memory counts
 // heapMultiplier times, for the garbage that the heap holds.
 func (l Limits) Within(c Cost) (core, memory, bytes bool) {
 	return c.Core <= l.Core, c.Memory*heapMultiplier <= l.Memory, c.Bytes <= l.BytesPerSecond
 }
 
-// Need holds the smallest number of instances that keeps each limit, or 0 if none
-// up to the number of shards does. More instances than shards don't help: an
-// instance without a shard gets no work.
+// Need holds the smallest number of instances whose control is within each limit, or
+// 0 if there is none up to the number of shards. More instances than shards don't
+// help: an instance without a shard gets no work.
 type Need struct {
 	Core, Memory, Bytes, All int
 	// Traffic is the smallest number with which traffic and control together use
@@ -24,7 +24,7 @@
 // MaxInstances is the largest number of instances that Needed considers.
 const MaxInstances = model.Shards
 
-// Needed returns the smallest number of instances that keeps each limit.
+// Needed returns the smallest number of instances whose control is within each limit.
 func (m Model) Needed(limits Limits) Need {
 	var need Need
 	for n := MinInstances; n <= MaxInstances; n++ {
--- a/internal/capacity/size.go
+++ b/internal/capacity/size.go
@@ -44,9 +44,10 @@
 	}
 }
 
-// Limits holds the maximum that one instance may spend on control.
+// Limits holds the maximum that one instance may spend on control, and the maximum
+// rate of appends of the whole cell.
 type Limits struct {
-	Core             float64 // ratio of one core
+	Core             float64 // fraction of one core
 	Memory           float64 // bytes
 	BytesPerSecond   float64 // both directions together
 	AppendsPerSecond float64 // entries appended to the log by the whole cell
@@ -89,7 +90,7 @@
 	Heartbeat   time.Duration
 	DeadAfter   time.Duration
 	WorkerLease time.Duration
-	RenewWait   time.Duration
+	RenewWait   time.Duration // maximum time for which a worker delays its answer to a renewal
 	Retention   time.Duration
 }
 
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -27,7 +27,8 @@
 	ConnectionBytes float64 `toml:"connection_memory"` // one connection, both ends together
 }
 
-// Lines holds the measured lines.
+// Lines holds the measured lines. In their names, Take stands for the handling of a
+// received message, reply or record, and By for what the size counts.
 type Lines struct {
 	HeartbeatBytesByTeam    Line `toml:"heartbeat_bytes_by_team"`
 	HeartbeatBytesByMember  Line `toml:"heartbeat_bytes_by_member"`
@@ -63,7 +64,7 @@
 
 	PlanByWorker   Line `toml:"plan_ns_by_listed_worker"`
 	PlanByInstance Line `toml:"plan_ns_by_instance"`
-	PlanByTeam     Line `toml:"plan_scan_ns_by_team"`
+	PlanByTeam     Line `toml:"plan_scan_ns_by_team"` // of an instance that plans for no team
 	GrantBytes     Line `toml:"grant_bytes_by_team_name_byte"`
 
 	ClaimBytes         Line `toml:"claim_bytes_by_shard"`
@@ -72,7 +73,7 @@
 	ListingTake        Line `toml:"listing_take_ns_by_worker"`
 	ListedWorkerMemory Line `toml:"listed_worker_memory"`
 
-	TakeoverByTask Line `toml:"takeover_ns_by_running_task"`
+	TakeoverByTask Line `toml:"takeover_ns_by_running_task"` // of one full report, by the tasks on other workers
 	HandoverBytes  Line `toml:"handover_bytes_by_request"`
 
 	TimelineMemory Line `toml:"time_line_memory"`
