--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,4 +1,4 @@
-// Package examples embeds an example of each of the two deployments in the binary.
+// Package examples embeds the example deployments guild and styrkeled in the binary.
 package examples
 
 import (
--- a/internal/example/example.go
+++ b/internal/example/example.go
@@ -36,8 +36,9 @@
 // OperatorSecret returns the secret of the example's operator key.
 func (e Example) OperatorSecret() string { return e.Secret("operator") }
 
-// Parse reads the example in dir. It uses name as the name of the example and in
-// the paths of errors. The returned error joins all faults of the files.
+// Parse reads the example in dir. It uses name as the name of the example and, for
+// files that can be read, in the paths of faults. The returned error joins all faults
+// of the files.
 func Parse(name string, dir fs.FS) (Example, error) {
 	e := Example{Name: name}
 	var faults []declare.Fault
