--- a/internal/scenario/commands_test.go
+++ b/internal/scenario/commands_test.go
@@ -36,8 +36,8 @@
 	"batch":         submitJob(model.KindBatch),
 	"service":       submitJob(model.KindService),
 	"gang":          submitJob(model.KindGang),
-	"expect-job":    expectGang,
-	"expect-gang":   expectGang,
+	"expect-job":    expectTasks,
+	"expect-gang":   expectTasks,
 	"expect-why":    expectWhy,
 	"expect-whole":  expectWhole,
 	"check":         func(s *state, _ *arguments) error { return s.check() },
@@ -87,7 +87,7 @@
 	}
 }
 
-// isolate cuts the connections between an instance and all others.
+// isolate partitions the network between an instance and all others.
 func isolate(s *state, a *arguments) error {
 	for _, other := range s.cell.Instances() {
 		if other != a.instance(0) {
--- a/internal/scenario/determinism_test.go
+++ b/internal/scenario/determinism_test.go
@@ -24,15 +24,15 @@
 
 // recordedAction is an action and the instance that returned it.
 type recordedAction struct {
-	at     model.InstanceID
+	id     model.InstanceID
 	action event.Action
 }
 
 func recordActions(seed uint64) []recordedAction {
 	var actions []recordedAction
 	_ = generate(seed).run(func(*testcell.Cell) testcell.FaultInjector {
-		return fault{action: func(at model.InstanceID, a event.Action) []event.Action {
-			actions = append(actions, recordedAction{at, a})
+		return fault{action: func(id model.InstanceID, a event.Action) []event.Action {
+			actions = append(actions, recordedAction{id, a})
 			return []event.Action{a}
 		}}
 	})
--- a/internal/scenario/gang_random_test.go
+++ b/internal/scenario/gang_random_test.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	gangSeed  = 1001
-	gangSeeds = 17
+	gangFirstSeed = 1001
+	gangSeedCount = 17
 )
 
 // TestGangRandom guards against gangs that stay partly started. It submits gangs that
 // compete for workers and kills an instance at a random moment of their start. Every
 // gang must run as a whole or not at all, and all must end.
 func TestGangRandom(t *testing.T) {
-	t.Logf("seeds %d to %d", gangSeed, gangSeed+gangSeeds-1)
-	for i := range uint64(gangSeeds) {
-		t.Run(fmt.Sprint(gangSeed+i), func(t *testing.T) {
+	t.Logf("seeds %d to %d", gangFirstSeed, gangFirstSeed+gangSeedCount-1)
+	for i := range uint64(gangSeedCount) {
+		t.Run(fmt.Sprint(gangFirstSeed+i), func(t *testing.T) {
 			t.Parallel()
-			checkGangs(t, gangSeed+i)
+			checkGangs(t, gangFirstSeed+i)
 		})
 	}
 }
--- a/internal/scenario/gang_test.go
+++ b/internal/scenario/gang_test.go
@@ -22,26 +22,26 @@
 	}
 }
 
-// expectGang checks the number of tasks of a gang that are running and the number of
+// expectTasks checks the number of tasks of a job that are running and the number of
 // starts of its tasks so far.
-func expectGang(s *state, a *arguments) error {
+func expectTasks(s *state, a *arguments) error {
 	c, err := s.call(a.word(0))
 	if err != nil {
 		return err
 	}
-	running, starts := countGangTasks(s.cell, c)
+	running, starts := countTasks(s.cell, c)
 	if want := a.text("running", fmt.Sprint(running)); want != fmt.Sprint(running) {
-		return fmt.Errorf("gang %s: %d tasks are running, want %s", a.word(0), running, want)
+		return fmt.Errorf("job %s: %d tasks are running, want %s", a.word(0), running, want)
 	}
 	if want := a.text("starts", fmt.Sprint(starts)); want != fmt.Sprint(starts) {
-		return fmt.Errorf("gang %s: %d starts, want %s", a.word(0), starts, want)
+		return fmt.Errorf("job %s: %d starts, want %s", a.word(0), starts, want)
 	}
 	return a.err
 }
 
-// countGangTasks returns the number of tasks of c that are running and the number of
+// countTasks returns the number of tasks of c that are running and the number of
 // their starts so far.
-func countGangTasks(cell *testcell.Cell, c *testcell.Call) (running, starts int) {
+func countTasks(cell *testcell.Cell, c *testcell.Call) (running, starts int) {
 	member := make(map[model.TaskID]bool)
 	for i := range c.Request.Count {
 		member[model.TaskIDOf(c.Team, c.ID(), i)] = true
@@ -68,7 +68,7 @@
 	got := s.cell.SendRequest("entry-1", first.Team, model.Request{Op: model.OpStatus, Key: first.Request.Key, ID: first.ID(), Why: true})
 	s.cell.Advance(100 * time.Millisecond)
 	if len(got.Answers) == 0 || !strings.Contains(string(got.Answers[0].Answer.Body), a.word(1)) {
-		return fmt.Errorf("gang %s: %q is not in the explanation: %+v", a.word(0), a.word(1), got.Answers)
+		return fmt.Errorf("job %s: %q is not in the explanation: %+v", a.word(0), a.word(1), got.Answers)
 	}
 	return a.err
 }
@@ -80,12 +80,12 @@
 	if err != nil {
 		return err
 	}
-	running, _ := countGangTasks(s.cell, c)
+	running, _ := countTasks(s.cell, c)
 	if running == 0 || running == c.Request.Count {
 		return a.err
 	}
 	s.cell.Advance(time.Second)
-	if running, _ = countGangTasks(s.cell, c); running != 0 && running != c.Request.Count {
+	if running, _ = countTasks(s.cell, c); running != 0 && running != c.Request.Count {
 		return fmt.Errorf("gang %s: only %d of %d tasks are running", a.word(0), running, c.Request.Count)
 	}
 	return a.err
--- a/internal/scenario/mutation_test.go
+++ b/internal/scenario/mutation_test.go
@@ -18,7 +18,7 @@
 	"pollenbend/internal/wire"
 )
 
-// mutant is a fault planted into the cell and the promises that it breaks.
+// mutant is a fault that is injected into the cell and the promises that it breaks.
 type mutant struct {
 	name     string
 	script   string             // the script that detects it
@@ -29,45 +29,45 @@
 // fault alters the events and actions of the cores and the starts that reach workers.
 // Nil functions alter nothing.
 type fault struct {
-	event  func(at model.InstanceID, e event.Event) event.Event
-	action func(at model.InstanceID, a event.Action) []event.Action
-	start  func(at model.WorkerID, r platform.StartRequest) platform.StartRequest
+	event  func(id model.InstanceID, e event.Event) event.Event
+	action func(id model.InstanceID, a event.Action) []event.Action
+	start  func(id model.WorkerID, r platform.StartRequest) platform.StartRequest
 }
 
 // Event implements testcell.FaultInjector.
-func (f fault) Event(at model.InstanceID, e event.Event) event.Event {
+func (f fault) Event(id model.InstanceID, e event.Event) event.Event {
 	if f.event == nil {
 		return e
 	}
-	return f.event(at, e)
+	return f.event(id, e)
 }
 
 // Action implements testcell.FaultInjector.
-func (f fault) Action(at model.InstanceID, a event.Action) []event.Action {
+func (f fault) Action(id model.InstanceID, a event.Action) []event.Action {
 	if f.action == nil {
 		return []event.Action{a}
 	}
-	return f.action(at, a)
+	return f.action(id, a)
 }
 
 // Start implements testcell.FaultInjector.
-func (f fault) Start(at model.WorkerID, r platform.StartRequest) platform.StartRequest {
+func (f fault) Start(id model.WorkerID, r platform.StartRequest) platform.StartRequest {
 	if f.start == nil {
 		return r
 	}
-	return f.start(at, r)
+	return f.start(id, r)
 }
 
-// TestMutants guards against checks that pass whatever the cores do. It plants one
+// TestMutants guards against checks that pass whatever the cores do. It injects one
 // fault at a time and requires that the checker reports a promise that it breaks.
 func TestMutants(t *testing.T) {
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
 			s := readScript(t, m.script)
-			plant := func(c *testcell.Cell) testcell.FaultInjector { return m.newFault(c) }
-			err := s.failure(plant)
-			require.Contains(t, m.breaks, testcell.Promise(kindOf(err)), "%s does not detect this fault: %v", m.script, err)
-			t.Logf("detected by %s:\n%s%v", m.script, s, err)
+			newInjector := func(c *testcell.Cell) testcell.FaultInjector { return m.newFault(c) }
+			err := s.failure(newInjector)
+			require.Contains(t, m.breaks, testcell.Promise(kindOf(err)), "script %s does not detect the injected fault: %v", m.script, err)
+			t.Logf("the fault is detected by script %s:\n%s%v", m.script, s, err)
 		})
 	}
 }
@@ -91,8 +91,8 @@
 		script: "start_late_fenced_no_task_runs_twice",
 		breaks: []testcell.Promise{testcell.PromiseCapacity, testcell.PromiseSingleRun, testcell.PromiseAtMostOnce, testcell.PromiseLimit},
 		newFault: func(c *testcell.Cell) fault {
-			return fault{start: func(at model.WorkerID, r platform.StartRequest) platform.StartRequest {
-				if ref, held := c.LeaseOf(at); held {
+			return fault{start: func(id model.WorkerID, r platform.StartRequest) platform.StartRequest {
+				if ref, held := c.LeaseOf(id); held {
 					r.Lease, r.Seq, r.WorkerIncarnation = ref, math.MaxUint64, 0
 				}
 				return r
@@ -150,8 +150,8 @@
 		name:   "a withdrawal is not applied at one instance",
 		script: "key_withdrawn_refused_everywhere",
 		breaks: []testcell.Promise{testcell.PromiseKey, testcell.PromiseConfig},
-		newFault: onEvent(func(at model.InstanceID, e event.Event) event.Event {
-			if at != "entry-3" {
+		newFault: onEvent(func(id model.InstanceID, e event.Event) event.Event {
+			if id != "entry-3" {
 				return e
 			}
 			switch e := e.(type) {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -63,7 +63,7 @@
 	newInjector injectorFunc
 }
 
-// injectorFunc returns the fault to plant into a cell. A nil function plants none.
+// injectorFunc returns the fault to inject into a cell. A nil function injects none.
 type injectorFunc func(*testcell.Cell) testcell.FaultInjector
 
 func newState(seed uint64, newInjector injectorFunc) *state {
@@ -190,5 +190,6 @@
 	return failureError{fmt.Errorf("call %s: got %s, want %s %s", name, got, strings.Join(wanted, " or "), detail), "an expected verdict"}
 }
 
-// hasFinalVerdict reports whether a call has its final verdict.
+// hasFinalVerdict reports whether a call has a verdict other than Pending. A lost call
+// has one without an answer.
 func hasFinalVerdict(call *testcell.Call) bool { return call.Verdict() != verdict.Pending }
--- a/internal/scenario/schedule_test.go
+++ b/internal/scenario/schedule_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// schedule is a randomly generated script. It has the form of the scripts in testdata,
-// so that a schedule that fails can be stored there.
+// schedule is a script, randomly generated or read from testdata. Both have the same
+// form, so that a generated schedule that fails can be stored in testdata.
 type schedule []string
 
 func (s schedule) String() string { return strings.Join(s, "\n") + "\n" }
 
 // failureError reports broken promises or an expectation that was not met. Its kind is
-// the first broken promise, or names the kind of expectation.
+// the first broken promise, or a fixed text for an unmet expectation.
 type failureError struct {
 	error
 	kind string
@@ -121,7 +121,8 @@
 	g.lines = append(g.lines, fmt.Sprintf(format, args...))
 }
 
-// duration returns a random duration of up to twice one of ms, in milliseconds.
+// duration returns a random duration from 1 ms to twice the value that it chooses at
+// random from ms, which are milliseconds.
 func (g *generator) duration(ms ...int) time.Duration {
 	return time.Duration(1+g.rng.IntN(2*ms[g.rng.IntN(len(ms))])) * time.Millisecond
 }
