--- a/internal/e2e/chaos_test.go
+++ b/internal/e2e/chaos_test.go
@@ -12,7 +12,7 @@
 	"pollenbend/internal/standin"
 )
 
-var chaosRequests = flag.Int("requests", 600, "number of requests answered in TestChaos")
+var chaosRequests = flag.Int("requests", 600, "number of answers after which TestChaos ends its load")
 
 // TestChaos guards against lost or repeated requests and false answers while instances
 // fail. It pauses, kills, drains and restarts instances of a cell of nine under load,
@@ -44,7 +44,7 @@
 	}
 	c.await("the remaining load", func() bool { return t.Failed() || load.answered() >= int64(*chaosRequests) })
 	load.stop()
-	t.Logf("done %d, may have run %d, refusals \"not run\" %d (each asked again)",
+	t.Logf("done %d, may have run %d, refusals \"not run\" %d (each request sent again)",
 		load.served.Load(), load.uncertain.Load(), load.refused.Load())
 	c.checkHistory(load)
 }
@@ -56,12 +56,12 @@
 }
 
 // checkHistory compares the answers with what the workers recorded: a request that is
-// done ran once, any other ran at most once, and no worker was ever committed beyond
-// its capacity.
+// done ran once, any other ran at most once, and no worker received a start that
+// exceeded its capacity.
 func (c *cell) checkHistory(l *load) {
 	c.t.Helper()
 	starts := c.starts()
-	for id, v := range l.verdicts() {
+	for id, v := range l.resultsByID() {
 		task := model.TaskIDOf("cork-salons", id, 0)
 		if v.done {
 			require.Equal(c.t, 1, starts[task], "starts of request %s, which is done", id)
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -84,6 +84,7 @@
 	return c
 }
 
+// serve starts the process of an instance.
 func (c *cell) serve(id string) {
 	args := []string{"serve", "--settings", filepath.Join(c.dir, id+".toml")}
 	if c.record {
@@ -94,6 +95,8 @@
 
 func (c *cell) tracePath(id string) string { return filepath.Join(c.dir, id+".jsonl") }
 
+// start starts a process that runs pollenbend with args. It is killed when the test
+// ends.
 func (c *cell) start(name string, args ...string) {
 	c.t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
@@ -121,6 +124,8 @@
 	require.NoError(c.t, c.procs[name].Process.Signal(sig))
 }
 
+// await waits until done returns true. It fails the test after awaitTimeout, with
+// what in its message.
 func (c *cell) await(what string, done func() bool) {
 	c.t.Helper()
 	deadline := time.NewTimer(awaitTimeout)
@@ -165,6 +170,8 @@
 	return cl
 }
 
+// apply applies the example's declarations and waits until all ready instances have
+// the same configuration.
 func (c *cell) apply() {
 	c.t.Helper()
 	change := declare.Diff(model.Declarations{}, c.example.Declarations)
--- a/internal/e2e/http_test.go
+++ b/internal/e2e/http_test.go
@@ -51,7 +51,7 @@
 	c := startCell(t, "guild", 3)
 	c.apply()
 	key := c.example.Secret("dublin-desk")
-	const tenMB = 10 << 20
+	const tenMiB = 10 << 20
 	tests := []struct {
 		id, key, body string
 		status        int
@@ -60,7 +60,7 @@
 		{"wrong-key", "pb_wrong", refill, http.StatusUnauthorized, verdict.CodeUnauthorized},
 		{"no-key", "", refill, http.StatusUnauthorized, verdict.CodeUnauthorized},
 		{"other-team", c.example.Secret("cork-desk"), refill, http.StatusForbidden, verdict.CodeForbidden},
-		{"large", key, `{"queue": "dublin", "payload": "` + strings.Repeat("x", tenMB) + `"}`, http.StatusRequestEntityTooLarge, verdict.CodeTooLarge},
+		{"large", key, `{"queue": "dublin", "payload": "` + strings.Repeat("x", tenMiB) + `"}`, http.StatusRequestEntityTooLarge, verdict.CodeTooLarge},
 		{"unknown-field", key, `{"queue": "dublin", "urgency": 1}`, http.StatusBadRequest, verdict.CodeBadRequest},
 		{"half-json", key, refill[:20], http.StatusBadRequest, verdict.CodeBadRequest},
 		{"unknown-queue", key, `{"queue": "nowhere", "service": "refill-prompt"}`, http.StatusNotFound, verdict.CodeNotFound},
@@ -122,10 +122,10 @@
 		})
 	}
 	operator := c.client(c.example.OperatorSecret(), "entry-1")
-	now, err := operator.Config(context.Background())
+	config, err := operator.Config(context.Background())
 	require.NoError(t, err)
 	_, err = operator.Apply(context.Background(), model.Change{
-		Base: now.Version, Delete: []model.ObjectRef{{Kind: model.ObjectKey, Name: "cork-desk"}},
+		Base: config.Version, Delete: []model.ObjectRef{{Kind: model.ObjectKey, Name: "cork-desk"}},
 	})
 	require.NoError(t, err)
 	accepted := time.Now()
@@ -151,9 +151,9 @@
 	c.apply()
 	desk, operator := c.client(c.example.Secret("dublin-desk")), c.client(c.example.OperatorSecret())
 	ctx := context.Background()
-	now, err := operator.Config(ctx)
+	config, err := operator.Config(ctx)
 	require.NoError(t, err)
-	change := model.Change{ID: "c-1", Base: now.Version, Put: model.Declarations{Teams: []model.Team{{Name: "new-salons", Share: 1}}}}
+	change := model.Change{ID: "c-1", Base: config.Version, Put: model.Declarations{Teams: []model.Team{{Name: "new-salons", Share: 1}}}}
 	job := apiwire.Job{Queue: "dublin", Service: "cleansing-reminder", Kind: model.KindBatch, Count: 2}
 
 	c.fault(`{"log": {"down": true}}`)
@@ -179,8 +179,8 @@
 // declaredEverywhere reports whether the declarations of every instance contain name.
 func (c *cell) declaredEverywhere(name string) bool {
 	for _, id := range c.ids() {
-		now, err := c.client(c.example.OperatorSecret(), id).Config(context.Background())
-		if err != nil || !strings.Contains(string(now.Body()), name) {
+		config, err := c.client(c.example.OperatorSecret(), id).Config(context.Background())
+		if err != nil || !strings.Contains(string(config.Body()), name) {
 			return false
 		}
 	}
--- a/internal/e2e/load_test.go
+++ b/internal/e2e/load_test.go
@@ -73,8 +73,8 @@
 
 func (l *load) answered() int64 { return l.served.Load() + l.uncertain.Load() }
 
-// verdicts returns the outcomes so far by request id.
-func (l *load) verdicts() map[string]result {
+// resultsByID returns the results so far by request id.
+func (l *load) resultsByID() map[string]result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.results
--- a/internal/e2e/record_test.go
+++ b/internal/e2e/record_test.go
@@ -18,8 +18,8 @@
 )
 
 // TestRecordedInstanceReplaysItsAnswers records two instances while they serve requests.
-// The replay of each record must give the answers that the callers received, and the
-// record must not contain the caller's secret.
+// The replay of each trace must give the answers that the callers received, and the
+// trace must not contain the caller's secret.
 func TestRecordedInstanceReplaysItsAnswers(t *testing.T) {
 	const calls = 10
 	c := startCell(t, "guild", 2, recorded)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -31,7 +31,7 @@
 	store     *store
 	fleet     *fleet
 	instances []*instance
-	stop      chan struct{}
+	stop      chan struct{} // closed when the clients must stop
 	group     sync.WaitGroup
 }
 
@@ -39,7 +39,7 @@
 type instance struct {
 	name       string
 	ip         string
-	boot       string
+	bootPath   string // file with the boot settings
 	mu         sync.Mutex
 	process    *os.Process
 	stopped    bool // whether the supervisor stops restarting it
@@ -54,9 +54,9 @@
 	width        int
 	steps        int
 	cpu          int64
-	openAttempts int
+	openAttempts int  // attempts that have no outcome yet
 	unknown      bool // whether the outcome of an attempt is not known
-	rejected     int
+	refusals     int  // attempts that were certainly refused
 	accepted     bool
 }
 
@@ -64,7 +64,7 @@
 func (s *submittedJob) refused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rejected > 0 && s.openAttempts == 0 && !s.unknown && !s.accepted
+	return s.refusals > 0 && s.openAttempts == 0 && !s.unknown && !s.accepted
 }
 
 func envInt(name string, fallback int) int {
@@ -113,7 +113,7 @@
 	close(c.stop)
 	c.endFaults()
 	c.group.Wait()
-	c.checkViolations()
+	c.reportViolations()
 }
 
 // start starts the stand-ins and count instances.
@@ -166,8 +166,8 @@
 	}
 	data, err := json.Marshal(boot)
 	require.NoError(c.t, err)
-	in.boot = filepath.Join(c.dir, in.name+".json")
-	require.NoError(c.t, os.WriteFile(in.boot, data, 0o600))
+	in.bootPath = filepath.Join(c.dir, in.name+".json")
+	require.NoError(c.t, os.WriteFile(in.bootPath, data, 0o600))
 	in.log, err = os.Create(filepath.Join(c.dir, in.name+".log"))
 	require.NoError(c.t, err)
 	c.group.Add(1)
@@ -185,7 +185,7 @@
 			return
 		}
 		command := exec.Command(c.binary, "platform")
-		command.Env = append(os.Environ(), "POLLENBEND_BOOT="+in.boot, "GOMAXPROCS=1")
+		command.Env = append(os.Environ(), "POLLENBEND_BOOT="+in.bootPath, "GOMAXPROCS=1")
 		command.Stdout, command.Stderr = in.log, in.log
 		err := command.Start()
 		in.process = command.Process
@@ -284,7 +284,7 @@
 	}
 	for _, id := range c.unfinished() {
 		c.fleet.mu.Lock()
-		c.fleet.violation("job %s was accepted, but is not completed %v after the last fault", id, completionTimeout)
+		c.fleet.recordViolation("job %s was accepted, but is not completed %v after the last fault", id, completionTimeout)
 		c.fleet.mu.Unlock()
 	}
 }
@@ -338,7 +338,7 @@
 	for step := range j.steps {
 		for i := range j.width {
 			if task := fmt.Sprintf("%s.0.%d.%d", id, step, i); !c.fleet.done[task] {
-				c.fleet.violation("job %s is reported as completed, but task %s is not done", id, task)
+				c.fleet.recordViolation("job %s is reported as completed, but task %s is not done", id, task)
 			}
 		}
 	}
@@ -349,7 +349,7 @@
 	var boot struct {
 		Listen struct{ Front string }
 	}
-	data, err := os.ReadFile(in.boot)
+	data, err := os.ReadFile(in.bootPath)
 	if err != nil || json.Unmarshal(data, &boot) != nil {
 		return 0, nil
 	}
@@ -416,7 +416,7 @@
 		case http.StatusOK:
 			j.accepted = true
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-			j.rejected++
+			j.refusals++
 		default:
 			j.unknown = true
 		}
@@ -429,7 +429,9 @@
 	}
 }
 
-func (c *cell) checkViolations() {
+// reportViolations logs a summary and fails the test for the recorded violations, of
+// which it reports at most 10.
+func (c *cell) reportViolations() {
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
 	accepted := 0
--- a/internal/soak/store_test.go
+++ b/internal/soak/store_test.go
@@ -25,8 +25,8 @@
 
 type topic struct {
 	records [][2]string // key, value
-	epoch   int64
-	seq     int64
+	epoch   int64       // highest epoch of an appender; appends of lower ones are fenced
+	seq     int64       // sequence number of the last append of that epoch
 }
 
 func newStore(seed uint64) *store {
@@ -109,6 +109,9 @@
 	_ = json.NewEncoder(w).Encode(answer) // the client may have disconnected
 }
 
+// appendLocked appends the records in body. Unless at is empty, it is the offset at
+// which the first record must be stored. Unless epoch is empty, epoch and seq identify
+// the append. The caller holds s.mu.
 func (s *store) appendLocked(name, at, epoch, seq string, body []byte) (int, any) {
 	t := s.topic(name)
 	end := int64(len(t.records))
@@ -180,6 +183,7 @@
 	}
 }
 
+// newest answers with the newest record of each key, without those that are empty.
 func (s *store) newest(w http.ResponseWriter, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/soak/workers_test.go
+++ b/internal/soak/workers_test.go
@@ -30,8 +30,10 @@
 	leaseEnd time.Time
 	usedCPU  int64
 	runs     map[string]*taskRun
-	ended    [][]any // ends that are not acknowledged yet, as the wire has them
-	lastEnd  int64   // number of the newest entry of ended
+	// ended holds the ends that are not acknowledged yet, as the wire has them. An
+	// end begins with its number, the task, the run and the reason.
+	ended   [][]any
+	lastEnd int64 // number of the newest entry of ended
 	// expiredEnd is the value of lastEnd when the lease was last seen expired. Ends up
 	// to this number don't count as acknowledged.
 	expiredEnd int64
@@ -64,8 +66,8 @@
 	return f
 }
 
-// violation records that something that must hold did not. The caller holds f.mu.
-func (f *fleet) violation(format string, args ...any) {
+// recordViolation records that something that must hold did not. The caller holds f.mu.
+func (f *fleet) recordViolation(format string, args ...any) {
 	f.violations = append(f.violations, fmt.Sprintf("%8s ", time.Since(f.startedAt).Round(time.Millisecond))+fmt.Sprintf(format, args...))
 }
 
@@ -149,25 +151,26 @@
 		f.endDueRuns(f.workers[at])
 	}
 	if at := f.runsOn[req.Task]; at != "" {
-		f.violation("task %s, run %d started on %s while the task runs on %s", req.Task, req.Run, w.id, at)
+		f.recordViolation("task %s, run %d started on %s while the task runs on %s", req.Task, req.Run, w.id, at)
 	}
 	if f.acknowledged[req.Task] {
-		f.violation("task %s, run %d started on %s after the task's end was acknowledged", req.Task, req.Run, w.id)
+		f.recordViolation("task %s, run %d started on %s after the task's end was acknowledged", req.Task, req.Run, w.id)
 	}
+	// A task id is the 16 digits of the job's id, then ".0.STEP.INDEX".
 	j := f.jobs[req.Task[:16]]
 	if j == nil {
-		f.violation("task %s started, but its job was never submitted", req.Task)
+		f.recordViolation("task %s started, but its job was never submitted", req.Task)
 		return
 	}
 	if j.refused() {
-		f.violation("task %s started, but every submission of its job was refused", req.Task)
+		f.recordViolation("task %s started, but every submission of its job was refused", req.Task)
 	}
 	var step, index int
 	_, _ = fmt.Sscanf(req.Task[16:], ".0.%d.%d", &step, &index)
 	if step > 0 {
 		for i := range j.width {
 			if before := fmt.Sprintf("%s.0.0.%d", j.id, i); !f.done[before] {
-				f.violation("task %s started before task %s of the previous step was done", req.Task, before)
+				f.recordViolation("task %s started before task %s of the previous step was done", req.Task, before)
 			}
 		}
 	}
@@ -175,7 +178,7 @@
 	f.runsOn[req.Task] = w.id
 	w.usedCPU += j.cpu
 	if w.usedCPU > workerCPU {
-		f.violation("worker %s is overcommitted: its tasks use %d mCPU, its capacity is %d mCPU", w.id, w.usedCPU, workerCPU)
+		f.recordViolation("worker %s is overcommitted: its tasks use %d mCPU, its capacity is %d mCPU", w.id, w.usedCPU, workerCPU)
 	}
 }
 
