--- a/internal/cell/engine/engine.go
+++ b/internal/cell/engine/engine.go
@@ -213,7 +213,7 @@
 	if p.Version <= e.policy.Version {
 		return
 	}
-	e.log.Info("policy applied", "version", p.Version, "before", e.policy.Version, "queues", len(p.Queues), "teams", len(p.Teams))
+	e.log.Info("declarations applied", "version", p.Version, "before", e.policy.Version, "queues", len(p.Queues), "teams", len(p.Teams))
 	e.policy = p
 	e.needsPlacement = true
 }
--- a/internal/cell/engine/types.go
+++ b/internal/cell/engine/types.go
@@ -121,7 +121,7 @@
 		Queue string
 		Reply func(Answer)
 	}
-	// PolicyChanged carries a new version of the policy.
+	// PolicyChanged carries a new version of the declarations.
 	PolicyChanged struct{ Policy *policy.Policy }
 	// WorkersListed carries the complete directory of workers.
 	WorkersListed struct{ Workers []WorkerInfo }
